--- a/limerudder/policy/__init__.py
+++ b/limerudder/policy/__init__.py
@@ -1,6 +1,6 @@
-"""The connection policy: a balancer node's decisions for long-lived connections, free of I/O.
+"""The connection policy: a balancer node's decisions for long-lived connections, without I/O.
 
-`Balancer` takes events (`events`) and returns actions (`actions`), by the node's `settings`. `selection`,
+`Balancer` turns events (`events`) into actions (`actions`), according to the node's `settings`. `selection`,
 `retry`, `load_shedding` and `outlier_detection` decide which server a request gets, and whether it is retried
 or rejected; the other modules keep the state that these decisions need.
 """
--- a/limerudder/policy/connection_table.py
+++ b/limerudder/policy/connection_table.py
@@ -1,4 +1,4 @@
-"""The node's requests and connections, and the servers they are attached to."""
+"""The node's requests and connections, and the servers that they are attached to."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ConnectionTable:
-    """All requests that wait for an answer and all connections, by request id."""
+    """All unanswered requests and all connections, by request id."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, Connection] = {}
@@ -23,7 +23,7 @@
     def find_attempt(self, event: AttemptEvent) -> Connection | None:
         """Return the connection whose current attempt the event is about.
 
-        Late or repeated events return None: handled, they would count the connection out twice.
+        Late or repeated events return None; handling them would detach the connection twice.
         """
         connection = self.by_id.get(event.request_id)
         if connection is None or connection.server is None:
@@ -33,14 +33,14 @@
         return connection if connection.server.id == event.server_id else None
 
     def attach(self, connection: Connection, server: Server) -> None:
-        """Count an attempt, or an established connection, to a server."""
+        """Assign an attempt, or an established connection, to a server."""
         connection.server = server
         server.pending_attempts += not connection.established
         server.connections[connection.id] = connection
         self.index.add(connection, server)
 
     def establish(self, connection: Connection, server: Server, now_us: int) -> None:
-        """The connection's attempt has succeeded."""
+        """Mark a connection established after its attempt has succeeded."""
         server.pending_attempts -= not connection.established
         connection.live = True
         connection.established = True
@@ -48,14 +48,14 @@
         connection.answered = True
 
     def detach(self, connection: Connection, server: Server) -> None:
-        """Count out an attempt or a connection that has ended."""
+        """Remove an ended attempt or connection from its server."""
         connection.server = None
         server.pending_attempts -= not connection.established
         del server.connections[connection.id]
         self.index.remove(connection, server)
 
     def conclude(self, connection: Connection) -> None:
-        """No further answer is owed: forget the request, unless an attempt is still under way."""
+        """Mark a request answered, and remove it unless an attempt is still pending."""
         connection.answered = True
         if connection.server is None:
             self.by_id.pop(connection.id, None)
--- a/limerudder/policy/context.py
+++ b/limerudder/policy/context.py
@@ -1,4 +1,4 @@
-"""What every part of the connection policy shares: settings, randomness, time and the actions so far."""
+"""State shared by all components of the connection policy: settings, random numbers, time and actions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Clock:
-    """The time of the event that is being handled; it never goes back."""
+    """The time of the event that is being handled; it never decreases."""
 
     def __init__(self) -> None:
         self.now_us = 0
-        self.started_at_us = 0  # when the policy received its first endpoint list
+        self.started_at_us = 0  # time of the first endpoint list
 
     def advance(self, now_us: int) -> None:
         """Set the time, unless it is earlier than the time already reached."""
@@ -22,7 +22,7 @@
 
 
 class PolicyContext(NamedTuple):
-    """Shared by the parts of one Balancer; `actions` are those of the event that is being handled."""
+    """Shared by the components of one Balancer; `actions` belong to the event that is being handled."""
 
     settings: Settings
     rng: Random
--- a/limerudder/policy/interface.py
+++ b/limerudder/policy/interface.py
@@ -9,16 +9,16 @@
 
 
 class ConnectionPolicy(Protocol):
-    """What a host may ask of a connection policy. Times are whole microseconds."""
+    """Methods that a connection policy provides to its host. Times are whole microseconds."""
 
     def handle(self, event: Event, now_us: int, /) -> list[Action]:
-        """Decide on one event; the actions are to be carried out in order."""
+        """Handle one event and return the actions, to be executed in order."""
 
     def avoided_servers(self, now_us: int) -> set[int]:
-        """Return the ids of the ready servers that new connections avoid, whatever the endpoint list says."""
+        """Return the ids of the servers that are listed as ready but avoided by new connections."""
 
     def confirm_send(self, request_id: int, server_id: int, now_us: int) -> bool:
-        """Return whether a request may be written to a server now; asked directly before it is written."""
+        """Return whether a request may be written to a server now; called directly before the write."""
 
     def malformed_peer_messages(self) -> int:
-        """Return how many datagrams of peers were dropped because they are of no known form."""
+        """Return the number of peer datagrams dropped because their format is invalid."""
--- a/limerudder/policy/load_shedding.py
+++ b/limerudder/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Admission of connections: room at a server, a tenant's quota, and the budget of a server in slow start.
+"""Admission control: capacity of a server, quota of a tenant, and budget of a server in slow start.
 
 A connection that no server admits waits or is rejected (see retry).
 """
@@ -16,13 +16,14 @@
 from limerudder.policy.server_registry import ServerRegistry
 from limerudder.policy.slow_start import SlowStartBudget
 
-#: In place of a load level: a server's own report alone decides, without what this node has added since.
+#: Pseudo load level: only a server's own report counts, without connections added by this node since then.
 REPORTED_LOAD_ONLY = math.inf
-MAX_PENDING_ATTEMPTS = 4  #: of this node at one server
-#: A learned connection limit rises by this share a second: a few refusals buy the news that room is back.
+MAX_PENDING_ATTEMPTS = 4  #: Limit of this node's pending attempts per server
+#: Relative growth of a learned connection limit; a few refusals are the cost of detecting new capacity.
 LIMIT_GROWTH_PER_SECOND = 0.1
-HEALTH_CHECK_ANSWER_US = SECOND  #: without an answer for so long, a health check counts as lost
-MAX_UNANSWERED_HEALTH_CHECKS = 16  #: as many unanswered mean that health checks fail, not the servers
+HEALTH_CHECK_ANSWER_US = SECOND  #: Time after which an unanswered health check counts as lost
+#: Number of unanswered health checks from which the fault is assumed in the checks, not in the servers.
+MAX_UNANSWERED_HEALTH_CHECKS = 16
 
 
 @dataclass(eq=False, repr=False)
@@ -38,7 +39,7 @@
     slow_start: SlowStartBudget
 
     def has_room(self, server: Server, level: float = 1.0, connection: Connection | None = None) -> bool:
-        """Whether a server has room for one more connection below a load level, as far as is known."""
+        """Whether a server is estimated to have capacity for one more connection below a load level."""
         now_us = self.context.clock.now_us
         inferred_loads = self.inferred_loads
         if inferred_loads is None:
@@ -50,8 +51,8 @@
                 return False
         elif not inferred_loads.has_room(server, level, connection, now_us):
             return False
-        # A node that has just restarted, or is the only one left, meets a wave of clients. What a server sets
-        # up for it at once is set up late or not at all, and its reports do not show any of it yet.
+        # A node that has just restarted, or is the only one left, receives a wave of clients. A server that
+        # gets all of them at once establishes them late or not at all, and its reports do not show them yet.
         if server.pending_attempts >= MAX_PENDING_ATTEMPTS:
             return False
         if server.connection_limit is None:
@@ -60,31 +61,33 @@
         return server.connection_count + 1 <= server.connection_limit * growth
 
     def exceeds_quota(self, connection: Connection) -> bool:
-        """Whether the connection's tenant holds more connections here than this node's part of its quota.
+        """Whether the tenant has more connections at this node than the node's share of the tenant's quota.
 
-        By the square root more are allowed: of a few connections, one too many by chance is no excess.
+        The square root of the share is tolerated on top, so that chance does not count as excess when the
+        share is only a few connections.
         """
         quotas = self.context.settings.tenant_quotas
-        held = self.index.connections_by_tenant[connection.tenant]
+        tenant_connections = self.index.connections_by_tenant[connection.tenant]
         quota = math.inf
         if connection.tenant < len(quotas):
             quota = quotas[connection.tenant] / self.context.settings.node_count
-        return held > quota + math.sqrt(quota)
+        return tenant_connections > quota + math.sqrt(quota)
 
     def slow_start_allows(self, server: Server) -> bool:
-        """Whether the budget of a server in slow start allows one more connection; a warm one always does.
+        """Whether the slow-start budget of a server allows one more connection; a warm server has no limit.
 
-        A new server holds no connections, and would be chosen in nearly every draw of every node.
+        A new server has no connections, so without a budget nearly every selection of every node would
+        choose it.
         """
         now_us = self.context.clock.now_us
         return not self.slow_start.is_warming_up(server, now_us) or self.slow_start.allows(server, now_us)
 
     def _must_wait_for_report(self, server: Server, level: float) -> bool:
-        """Whether a server of unknown load is kept from a connection, where servers are polled on demand.
+        """Whether a server of unknown load gets no connection yet; applies if servers are polled on demand.
 
-        A server that was polled and has not answered is as a rule overloaded; taken for empty, it would get
-        everything. Where no server answers any more it is the health checks that fail, and nobody is
-        rejected for that.
+        A server that does not answer a poll is usually overloaded; if it counted as idle, it would get all
+        connections. If no server answers any more, the health checks themselves are failing, which must not
+        cause rejections.
         """
         if not self.poller.on_demand or server in self.registry.returned:
             return False
@@ -97,11 +100,12 @@
         )
 
     def _exceeds_level(self, server: Server, level: float, estimate: float) -> bool:
-        """Whether one more connection would load a server beyond a level.
+        """Whether one more connection would raise a server's load above a level.
 
-        Clients that reconnect by the dozen after another node's end are in the servers' reports already.
-        Counted again, they would fill every server in a moment and be rejected: for these callers ask with
-        REPORTED_LOAD_ONLY. Clients that come from a draining server are in that server's reports only.
+        Clients that reconnect in large numbers after another node has ended are still included in the
+        servers' reports. Counting them twice would make all servers look full and reject these clients, so
+        callers pass REPORTED_LOAD_ONLY for them. Clients that come from a draining server are included only
+        in that server's reports.
         """
         if level == REPORTED_LOAD_ONLY:
             expected_load = server.load or 0
--- a/limerudder/policy/rejection_log.py
+++ b/limerudder/policy/rejection_log.py
@@ -1,4 +1,4 @@
-"""Logs why requests are rejected, at most once in five seconds."""
+"""Logs why requests are rejected, at most once every five seconds."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RejectionLog:
-    """Counts how many servers each criterion would admit."""
+    """Logs the number of servers that each admission criterion allows."""
 
     def __init__(
         self,
@@ -37,16 +37,16 @@
         self._next_at_us = 0
 
     def record(self) -> None:
-        """A request gets a final answer without a connection."""
+        """Log the counts for a request that is answered without a connection, subject to the interval."""
         now_us = self._clock.now_us
         if now_us < self._next_at_us:
             return
         self._next_at_us = now_us + LOG_INTERVAL_US
         ready = self._registry.ready
         healthy = sum(map(self._outliers.is_healthy, ready))
-        with_room = sum(map(self._load_shedding.has_room, ready))
+        with_capacity = sum(map(self._load_shedding.has_room, ready))
         warm = sum(map(self._load_shedding.slow_start_allows, ready))
         level = self._loads.preferred_max_load
         interval_ms = self._pacer.interval_us // 1000
-        text = TEXT.format(len(ready), healthy, with_room, warm, level, interval_ms)
+        text = TEXT.format(len(ready), healthy, with_capacity, warm, level, interval_ms)
         self._actions.append(LogMessage(text))
