--- a/limerudder/policy/balancer.py
+++ b/limerudder/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The connection policy of one node: takes events, returns actions (see interface).
+"""The connection policy of one node: turns events into actions (see interface).
 
-A Balancer has no clock, sockets or threads of its own. Time comes with each event and randomness from the
-generator it is given, so the same events lead to the same actions.
+A Balancer has no clock, sockets or threads. Each event carries its time, and random numbers come from the
+generator passed to the constructor, so the same events lead to the same actions.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Balancer:
-    """Owns the parts of the policy and passes each event to those it concerns."""
+    """Owns the components of the policy and dispatches each event to its handler."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._context = context = PolicyContext(settings, rng, Clock(), [])
@@ -73,7 +73,7 @@
         }
 
     def handle(self, event: events.Event, now_us: int, /) -> list[Action]:
-        """Decide on one event; the actions are to be carried out in order."""
+        """Handle one event and return the actions, to be executed in order."""
         self._context.clock.advance(now_us)
         actions = self._context.actions
         actions.clear()
@@ -81,19 +81,19 @@
         return actions.copy()
 
     def avoided_servers(self, now_us: int) -> set[int]:
-        """Return the ids of the ready servers that are ejected or slow now."""
+        """Return the ids of the ready servers that are currently ejected or slow."""
         self._context.clock.advance(now_us)
         return {server.id for server in self.registry.ready if not self.outliers.is_healthy(server)}
 
     def malformed_peer_messages(self) -> int:
-        """Return how many datagrams of peers were dropped because they are of no known form."""
+        """Return the number of peer datagrams dropped because their format is invalid."""
         return self.gossip.malformed
 
     def confirm_send(self, request_id: int, server_id: int, now_us: int) -> bool:
-        """Return whether a request may be written to a server now; asked directly before it is written.
+        """Return whether a request may be written to a server now; called directly before the write.
 
-        A server in slow start takes it only in a turn of this node: the one that was taken with the decision,
-        or, if that has ended since or the server has restarted, another one.
+        A request to a server in slow start needs a turn of this node: the one acquired with the decision, or
+        another one if that turn has expired or the server has restarted.
         """
         self._context.clock.advance(now_us)
         server = self.registry.servers.get(server_id)
@@ -104,13 +104,13 @@
         if connection:
             connection.permit = None
         if permit is None or not permit.is_valid(server, now_us):
-            permit = self.slow_start.take(server, now_us)
+            permit = self.slow_start.acquire(server, now_us)
         return permit is not None
 
     # Construction
 
     def _create_state(self, context: PolicyContext) -> None:
-        """Create what is known of servers, connections, loads and traffic."""
+        """Create the state of servers, connections, loads and traffic."""
         settings = context.settings
         self.connections = ConnectionTable()
         self.timers = ConnectionTimers(context.actions)
@@ -126,7 +126,7 @@
         self.poller = LoadPoller(context, self.registry, self.loads, self.gossip, self.rates)
 
     def _create_selection(self, context: PolicyContext) -> None:
-        """Create the parts that choose servers."""
+        """Create the components that select servers."""
         self._draining = DrainMigration(context, self.timers)
         self.outliers = OutlierDetector(context, self.inferred_loads, self.pacer, self.rates)
         self.load_shedding = LoadShedding(
@@ -151,7 +151,7 @@
         )
 
     def _create_request_handling(self, context: PolicyContext) -> None:
-        """Create the parts that retry, reject, and follow each request."""
+        """Create the components that place, retry, reject and track requests."""
         placement = RequestPlacement(
             context,
             registry=self.registry,
@@ -180,7 +180,7 @@
         )
 
     def _create_periodic_tasks(self, context: PolicyContext) -> None:
-        """Create the parts that poll discovery and loads, and migrate connections."""
+        """Create the components that poll discovery and loads, and migrate connections."""
         self._discovery = DiscoveryPoller(context)
         self._gossip_exchange = GossipExchange(context, self.registry, self.gossip, self.rates, self.poller)
         self._returned_servers = ReturnedServerRebalancer(context, self.registry)
@@ -223,7 +223,7 @@
             return
         self.registry.apply(event, self._on_server_state_change)
         if event.kind == events.UpdateKind.OPERATOR:
-            return  # discovery has not answered, and is to be polled no later for it
+            return  # this is no answer of discovery, so its next poll must not be delayed
         if self._started:
             self._discovery.on_update()
         else:
@@ -231,9 +231,9 @@
 
     def _on_turn_ownership(self, event: events.TurnOwnership) -> None:
         if event.is_own:
-            self.slow_start.take_turns_from(self._context.clock.now_us)
+            self.slow_start.start_using_turns(self._context.clock.now_us)
         else:
-            self.slow_start.leave_turns()
+            self.slow_start.stop_using_turns()
 
     def _on_server_state_change(self, server: Server) -> None:
         registry = self.registry
@@ -243,10 +243,10 @@
             self._draining.start(server)
 
     def _start(self) -> None:
-        """Begin with the periodic tasks: the first endpoint list has come."""
+        """Start the periodic tasks after the first endpoint list has arrived."""
         self._started = True
         self._context.clock.started_at_us = self._context.clock.now_us
-        self.slow_start.take_turns_from(self._context.clock.now_us)
+        self.slow_start.start_using_turns(self._context.clock.now_us)
         if self.poller.enabled:
             self.poller.sweep()
         if self.poller.enabled or self.inferred_loads:
--- a/limerudder/policy/request_lifecycle.py
+++ b/limerudder/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Follows each request from its arrival to the end of its connection, by the events that a node reports."""
+"""Tracks each request from its arrival to the end of its connection, driven by the node's events."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         self.placement.place(connection)
 
     def on_existing_connection(self, event: events.ExistingConnection) -> None:
-        """Take over a connection that was established before the policy started."""
+        """Register a connection that was established before the policy started."""
         if event.request_id in self.connections.by_id:
             return
         server = self.registry.get_or_create(event.server_id)
@@ -53,21 +53,22 @@
         connection.established = True
         connection.answered = True
         self.rates.existing_connections += 1
-        self.slow_start.reference.believe_from(self.context.clock.started_at_us)
+        self.slow_start.reference.measure_from(self.context.clock.started_at_us)
         self.connections.attach(connection, server)
 
     def on_predecessor_connections(self, event: events.PredecessorConnections) -> None:
-        """Count the connections that the process which this one replaces still holds at a server.
+        """Record the connections to a server that the predecessor process still has.
 
-        A process that has just started and holds nothing would take each client that comes over from its
-        predecessor for load on top of what reports tell, and reject all until reports tell otherwise.
+        A process that has just started has no connections. It would count each client that moves over from
+        its predecessor as additional load, although reports include it already, and reject all clients until
+        new reports arrive.
         """
         server = self.registry.servers.get(event.server_id)
         if server is not None:
             server.predecessor_connections = event.connections
 
     def on_connection_established(self, event: events.ConnectionEstablished) -> None:
-        """An attempt has succeeded."""
+        """Record the success of an attempt."""
         connection = self.connections.find_attempt(event)
         if connection is None or connection.server is None:
             return
@@ -75,13 +76,13 @@
         self.connections.establish(connection, server, self.context.clock.now_us)
         if not connection.is_reconnect:
             self.slow_start.reference.record_connection(self.context.clock.now_us)
-        if server.state == events.ServerState.DRAINING:  # since the attempt started: migrate it, too
+        if server.state == events.ServerState.DRAINING:  # drained during the attempt: migrate it, too
             self.timers.schedule(connection, self.context.clock.now_us)
         self.outliers.on_established(server, connection, event.latency_us)
         self.pacer.record_success(self.rates.last_request_rate)
 
     def on_attempt_ended(self, event: events.AttemptEnded) -> None:
-        """An attempt, or the connection it established, has ended: learn from it, and retry where needed."""
+        """Update the server's health after an attempt or its connection has ended, and retry if needed."""
         connection = self.connections.find_attempt(event)
         if connection is None or connection.server is None:
             return
@@ -94,7 +95,7 @@
             self.placement.on_attempt_failed(connection, server, event)
 
     def on_client_disconnected(self, event: events.ClientDisconnected) -> None:
-        """The client has gone: cancel its attempt where the node can."""
+        """Conclude the request of a client that has disconnected, and cancel its attempt if the node can."""
         connection = self.connections.by_id.get(event.request_id)
         if connection is None or connection.answered:
             return
@@ -105,8 +106,8 @@
             self.context.actions.append(cancel)
 
     def on_timer(self, token: int) -> None:
-        """A connection's timer has fired: migrate it from a draining server, or place its waiting request."""
-        connection = self.timers.take(token)
+        """Migrate a connection from a draining server, or place its waiting request, when its timer fires."""
+        connection = self.timers.pop(token)
         if connection is None:
             return
         server = connection.server
--- a/limerudder/policy/retry.py
+++ b/limerudder/policy/retry.py
@@ -1,6 +1,6 @@
-"""Places requests: starts attempts, lets requests wait for room, retries, and gives final answers.
+"""Places requests: starts attempts, queues requests until there is capacity, retries, and answers.
 
-A request whose attempt may have been executed is retried only where its traffic class makes that safe.
+A request that a server may have executed is retried only if its traffic class makes that safe.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from limerudder.policy.timers import ConnectionTimers
 from limerudder.policy.traffic_rates import TrafficRates
 
-PENDING_RETRY_INTERVAL_US = SECOND // 10  #: between draws for a request that waits for room
-RETRY_AFTER_US = SECOND  #: the Retry-After of a rejected client
-MIN_TIME_LEFT_TICKS = 2  #: with less time left, an attempt could not end before the deadline
+PENDING_RETRY_INTERVAL_US = SECOND // 10  #: Selection interval of a request that waits for capacity
+RETRY_AFTER_US = SECOND  #: Retry-After sent to rejected clients
+MIN_TIME_LEFT_TICKS = 2  #: Minimum time before the deadline at the start of an attempt
 
 
 @dataclass(eq=False, repr=False)
 class RequestPlacement:
-    """Brings each request to a server or to its final answer."""
+    """Assigns each request to a server or gives its final answer."""
 
     context: PolicyContext
     registry: ServerRegistry
@@ -44,7 +44,7 @@
     rejection_log: RejectionLog
 
     def place(self, connection: Connection) -> None:
-        """Start an attempt, let the request wait while that may help, or give its final answer."""
+        """Start an attempt, queue the request while a server may still become available, or answer it."""
         now_us = self.context.clock.now_us
         if not self._may_attempt(connection):
             self.answer(connection)
@@ -52,7 +52,7 @@
         if self.pacer.interval_us and not connection.paced_start_us:
             latest_us = connection.deadline_us - self.context.settings.connect_timeout_us
             start_us = self.pacer.reserve(now_us, latest_us)
-            if start_us is None:  # answered early, since it could not be established in time
+            if start_us is None:  # no connection could be established before the deadline
                 self.answer(connection)
                 return
             connection.paced_start_us = start_us
@@ -71,7 +71,7 @@
             self.answer(connection)
 
     def answer(self, connection: Connection) -> None:
-        """Give the final answer: rejected where the client may safely retry, else failed."""
+        """Give the final answer: rejected if the client can safely retry, otherwise failed."""
         self.rejection_log.record()
         traffic_class = connection.traffic_class
         is_idempotent = traffic_class.effect == "safe" or (
@@ -85,7 +85,7 @@
         self.connections.conclude(connection)
 
     def on_attempt_failed(self, connection: Connection, server: Server, event: AttemptEnded) -> None:
-        """Retry a request that still waits for its answer, unless its attempt has become obsolete."""
+        """Retry an unanswered request, unless its attempt has become obsolete."""
         connection.tried_servers.append(server)
         may_have_executed = (
             event.outcome not in NOT_EXECUTED_OUTCOMES and connection.traffic_class.effect != "safe"
@@ -105,7 +105,7 @@
         if connection.possibly_executed is not None:
             traffic_class = connection.traffic_class
             window_us = traffic_class.idempotency_window_us if traffic_class.effect == "keyed" else 0
-            # The request is sent once the connection is established, as late as the connect timeout allows.
+            # The request is sent when the connection is established, which may take the full connect timeout.
             latest_send_us = now_us + settings.connect_timeout_us
             if latest_send_us >= connection.possibly_executed.started_at_us + window_us:
                 return False
@@ -116,7 +116,7 @@
     def _poll_candidates(self, connection: Connection) -> bool:
         """Poll the servers that a request may join, once; return whether to wait for their reports.
 
-        Candidates beyond the first d are not polled: each would do the group's shared work again.
+        Only the first d candidates are polled: each additional one would repeat the group's shared work.
         """
         reports_come_in_time = self.context.clock.now_us + REPORT_WAIT_US < connection.objective_at_us
         if not self.poller.on_demand or connection.candidates_polled or not reports_come_in_time:
@@ -134,26 +134,26 @@
         connection.paced_start_us = 0
         self.registry.returned.pop(server, None)
         self.connections.attach(connection, server)
-        connection.permit = self._take_permit(server)
+        connection.permit = self._acquire_permit(server)
         self.outliers.on_attempt_started(server)
         if connection.attempts_started == 1:
             self.rates.record_request(connection.is_reconnect)
             self.poller.earn_credit()
         self.context.actions.append(StartAttempt(connection.id, server.id, timeout_us))
 
-    def _take_permit(self, server: Server) -> Permit | None:
-        """Take a turn at a server in slow start; others need no permit."""
+    def _acquire_permit(self, server: Server) -> Permit | None:
+        """Acquire a turn at a server in slow start; warm servers need no permit."""
         now_us = self.context.clock.now_us
         if not self.slow_start.is_warming_up(server, now_us):
             return None
-        return self.slow_start.take(server, now_us)
+        return self.slow_start.acquire(server, now_us)
 
     def _attempt_timeout_us(self, connection: Connection) -> int:
-        """Return how long an attempt may take: about half of the time left, unless it is the last.
+        """Return the timeout of an attempt: about half of the time left, or all of it for the last attempt.
 
-        After a wave of clients, connects take long at a store that they share. Given up at the latency
-        objective and retried, each would be done twice and later still; a connection earns over its whole
-        life, so it may start late.
+        After a wave of clients, connects are slow because the servers share an overloaded store. Cancelling
+        them at the latency objective and retrying would double the work and delay them further. A late start
+        is acceptable, since a connection has its value over its whole lifetime.
         """
         time_left_us = connection.deadline_us - self.context.clock.now_us
         is_last = connection.attempts_started + 1 >= self.context.settings.max_attempts
--- a/limerudder/policy/selection.py
+++ b/limerudder/policy/selection.py
@@ -1,9 +1,9 @@
 """Selects the server of a connection by the power of d choices.
 
 After Xie, Dong, Lu and Srikant, "Power of d Choices for Large-Scale Bin Packing: A Loss Model"
-(SIGMETRICS'15): draw d servers at random and join the one with the fewest of this node's own live
-connections, ties at random. Zones, groups, loads and health narrow which servers are eligible; the draw
-stays the same.
+(SIGMETRICS'15): sample d servers at random and choose the one with the fewest of this node's own live
+connections, breaking ties at random. Zones, groups, loads and health restrict which servers are eligible;
+they do not change the sampling.
 """
 
 from __future__ import annotations
@@ -24,15 +24,16 @@
 from limerudder.policy.reported_loads import COMFORTABLE_LOAD, ReportedLoads
 from limerudder.policy.server_registry import ServerRegistry
 
-CHOICES = 2  #: the paper's d: two choices already bring the doubly exponential fall in blocking
-MAX_CANDIDATES = 8 * CHOICES  #: servers that a draw looks at, however large the fleet
-MAX_WEIGHED_SERVERS = 16 * MAX_CANDIDATES  #: servers whose room is weighed for that
-MIN_ROOM = 0.1  #: of a server's size, by which a loaded server is still drawn
+CHOICES = 2  #: d in the paper; two choices already make blocking fall doubly exponentially
+MAX_CANDIDATES = 8 * CHOICES  #: Maximum size of a sample, independent of the fleet size
+#: Maximum number of servers whose spare capacity is computed for one sample.
+MAX_WEIGHED_SERVERS = 16 * MAX_CANDIDATES
+MIN_SPARE_CAPACITY_SHARE = 0.1  #: Minimum sampling weight of a loaded server, as a share of its size
 
 
 @dataclass(eq=False, repr=False)
 class ServerSelector:
-    """Draws the server that a connection joins."""
+    """Selects the server for a connection."""
 
     context: PolicyContext
     registry: ServerRegistry
@@ -47,7 +48,7 @@
     def __post_init__(self) -> None:
         settings = self.context.settings
         crossing_is_priced = settings.prices.get("crossZone", 0) > 0
-        #: Zones to draw from, in order; None stands for all zones.
+        #: Zones to select from, in order of preference; None means all zones.
         self.zones = (settings.zone, None) if crossing_is_priced else (None,)
 
     def select(self, connection: Connection) -> Server | None:
@@ -57,46 +58,50 @@
                 chosen = self._choose(connection, pool, level)
                 if chosen is not None:
                     return chosen
-        if self._may_reclaim_room(connection):
+        if self._may_reclaim_capacity(connection):
             chosen = self._choose(connection, self.sample(self.registry.ready), REPORTED_LOAD_ONLY)
             if chosen is not None:
                 return chosen
         return self._select_unhealthy(connection)
 
     def ring_candidates(self, connection: Connection, zone: int | None) -> list[Server]:
-        """Return the first d servers from the group's place on the hash ring: the same ones at every node.
+        """Return the first d servers from the group's position on the hash ring, the same at every node.
 
-        A connection without a group starts from a random place of its own, not from its request id: ids
-        begin at 1 at each node that starts, and the nodes' first requests would meet at the same servers.
+        A connection without a group starts from a random position. Its request id is unsuitable: ids begin
+        at 1 when a node starts, so the first requests of all nodes would select the same servers.
         """
         ring = self.registry.ring.walk(connection.group or connection.ring_key)
         servers = map(self.registry.servers.__getitem__, ring)
         return list(islice((s for s in servers if zone is None or zone == s.zone), CHOICES))
 
     def sample(self, servers: list[Server]) -> list[Server]:
-        """Return some servers in random order, larger ones as a rule before smaller ones.
+        """Return a random sample of servers, weighted by spare capacity, heavier ones tending to come first.
 
-        A weighted sample after Efraimidis and Spirakis. Drawn alike, small servers would be full while large
-        ones stand idle. Those with most room are not simply taken in turn: reports are seconds old, and all
-        nodes would fill the same servers. Thousands are thinned out first, since weighing each would take
-        milliseconds of every draw.
+        Weighted random sampling after Efraimidis and Spirakis. With uniform sampling, small servers would be
+        full while large ones are idle. Always choosing the servers with the most spare capacity would not
+        work: reports are seconds old, and all nodes would fill the same servers. Large fleets are first
+        reduced at random, since weighing thousands of servers would add milliseconds to every selection.
         """
         if len(servers) > MAX_WEIGHED_SERVERS:
             servers = self.context.rng.sample(servers, MAX_WEIGHED_SERVERS)
         now_us = self.context.clock.now_us
         loads = self.loads
         random = self.context.rng.random
-        rooms = [
-            loads.effective_size(server, now_us) * max(1 - (loads.estimate(server, now_us) or 0), MIN_ROOM)
+        spare_capacities = [
+            loads.effective_size(server, now_us)
+            * max(1 - (loads.estimate(server, now_us) or 0), MIN_SPARE_CAPACITY_SHARE)
             for server in servers
         ]
-        keys = {server: random() ** (1 / room) for server, room in zip(servers, rooms, strict=True)}
+        keys = {
+            server: random() ** (1 / capacity)
+            for server, capacity in zip(servers, spare_capacities, strict=True)
+        }
         return sorted(servers, key=keys.__getitem__, reverse=True)[:MAX_CANDIDATES]
 
     def is_eligible(
         self, connection: Connection, server: Server, level: float, ignore_health: bool = False
     ) -> bool:
-        """Whether the connection may join a server, as far as this node knows."""
+        """Whether the connection may join a server: it is healthy, has capacity, and the rules allow it."""
         return (
             (ignore_health or self.outliers.is_healthy(server))
             and self.load_shedding.has_room(server, level, connection)
@@ -117,11 +122,11 @@
         return self.load_shedding.slow_start_allows(server)
 
     def _load_levels(self, connection: Connection) -> list[float]:
-        """Return the loads up to which servers are eligible, one after the other.
+        """Return the load levels up to which servers are eligible, in the order in which to try them.
 
-        Where all servers stand at the mean, none is below it; to spare the busier ones must not reject
-        anyone, hence the second level. A tenant over its quota gets the first one only: it would crowd out
-        the others where room is short.
+        If all servers are at the mean load, none is below it. Sparing busier servers must not cause
+        rejections, hence the second level. A tenant over its quota gets only the first level, because it
+        would crowd out other tenants when capacity is scarce.
         """
         loads = self.loads
         if self.load_shedding.exceeds_quota(connection):
@@ -133,50 +138,50 @@
         return levels
 
     def _pools(self, connection: Connection) -> Iterator[list[Server]]:
-        """Yield the servers to draw from, one pool after the other."""
+        """Yield the pools of servers to select from, in order of preference."""
         registry = self.registry
         on_demand = self.poller.on_demand
         if registry.returned:
-            # One that operators put back is among the candidates until it gets its first connection.
+            # A server that operators returned to service is a candidate until it gets its first connection.
             yield [*registry.returned, *self.sample(registry.ready)]
-        in_turn = [] if connection.group else self._servers_in_turn()
+        with_turns = [] if connection.group else self._servers_with_turns()
         for zone in self.zones:
-            yield [s for s in in_turn if zone is None or zone == s.zone]
+            yield [s for s in with_turns if zone is None or zone == s.zone]
             if connection.group:
-                # Servers that hold some of the group already do its shared work.
-                holders = self.connections.index.servers_by_group.get(connection.group, ())
-                yield self.sample([s for s in holders if zone is None or zone == s.zone])
+                # Servers with connections of the group already do its shared work.
+                servers_of_group = self.connections.index.servers_by_group.get(connection.group, ())
+                yield self.sample([s for s in servers_of_group if zone is None or zone == s.zone])
             if connection.group or on_demand:
                 yield self.ring_candidates(connection, zone)
-            # Each further server would do the group's shared work again.
+            # Each additional server would repeat the group's shared work.
             if not (connection.group and on_demand) or self.gossip.is_active(self.context.clock.now_us):
                 yield [s for s in self.sample(registry.ready) if zone is None or zone == s.zone]
 
-    def _servers_in_turn(self) -> list[Server]:
+    def _servers_with_turns(self) -> list[Server]:
         """Return the servers in slow start at which this node has a turn, in random order.
 
-        A turn is short and rare, and no other node can use it: left to a draw among all servers, which weighs
-        a server in slow start by the little that it can do, most turns would be lost.
+        Turns are short and rare, and no other node can use them. Sampling among all servers gives a server
+        in slow start a low weight, so most turns would expire unused.
         """
         now_us = self.context.clock.now_us
-        servers = self.load_shedding.slow_start.servers_in_turn(self.registry.warming_up, now_us)
+        servers = self.load_shedding.slow_start.servers_with_turns(self.registry.warming_up, now_us)
         self.context.rng.shuffle(servers)
         return servers
 
     def _choose(
         self, connection: Connection, pool: list[Server], level: float, ignore_health: bool = False
     ) -> Server | None:
-        """Return that of the first d eligible servers which has the fewest connections.
+        """Return the server with the fewest connections among the first d eligible ones.
 
-        The first of equals wins: in a random order that is a tie broken at random, on the ring it is the
+        The first of equals wins. In a random order this breaks ties at random; on the ring it prefers the
         group's first server.
         """
         eligible = (s for s in pool if self.is_eligible(connection, s, level, ignore_health))
         candidates = list(islice(eligible, CHOICES))
         return min(candidates, key=lambda server: server.connection_count) if candidates else None
 
-    def _may_reclaim_room(self, connection: Connection) -> bool:
-        """Whether a reconnecting client may take the room that it just had, by the servers' reports alone."""
+    def _may_reclaim_capacity(self, connection: Connection) -> bool:
+        """Whether a reconnecting client may reuse its previous capacity, judged by load reports only."""
         return (
             connection.is_reconnect
             and self.loads.mean_reported_load <= COMFORTABLE_LOAD
@@ -184,9 +189,9 @@
         )
 
     def _select_unhealthy(self, connection: Connection) -> Server | None:
-        """If no server is healthy, draw among all of them.
+        """Select among all ready servers if none is healthy.
 
-        What all servers share may make all of them look bad; with no healthy one left, health is no guide.
+        A fault in a shared dependency can make all servers look unhealthy; health then does not discriminate.
         """
         if self._has_healthy_server():
             return None
@@ -194,19 +199,19 @@
         return self._choose(connection, self.sample(self.registry.ready), level, ignore_health=True)
 
     def _has_healthy_server(self) -> bool:
-        """Whether any ready server is healthy and, by its slow start, may get one more connection.
+        """Whether any ready server is healthy and its slow start allows one more connection.
 
-        Asked for each draw that found none, and thousands may warm up at a time: each server's turns are not
-        looked at then, but those servers that are known to have one.
+        Called for every selection that found no server, while thousands of servers may be warming up. The
+        cached list of servers with turns avoids checking the turns of each.
         """
         ready = self.registry.ready
         is_healthy = self.outliers.is_healthy
         warming_up = self.registry.warming_up
         now_us = self.context.clock.now_us
         if now_us >= self.registry.first_warm_us or self.context.settings.initial_capacity >= 1:
-            # some that are held to warm up no longer do
+            # Some servers in `warming_up` are warm by now.
             return any(is_healthy(s) and self.load_shedding.slow_start_allows(s) for s in ready)
         if any(is_healthy(server) for server in ready if server not in warming_up):
             return True
-        in_turn = self.load_shedding.slow_start.servers_in_turn(warming_up, now_us)
-        return any(is_healthy(server) for server in in_turn if server.state == ServerState.READY)
+        with_turns = self.load_shedding.slow_start.servers_with_turns(warming_up, now_us)
+        return any(is_healthy(server) for server in with_turns if server.state == ServerState.READY)
--- a/limerudder/policy/slow_start.py
+++ b/limerudder/policy/slow_start.py
@@ -1,20 +1,22 @@
-"""Slow start: what this node may send a server that is warming up, so that all nodes together stay in bounds.
-
-The operators bound the requests that a server gets in a window from all nodes: N, which is `overload_factor`
-times what the server can do by now, and an allowance for chance, 2 * sqrt(N) + 2 (for N under 30:
-3 * sqrt(N) + 3). A node's turns come from two schedules (see slow_start_schedule):
-
-- Base turns are the same at all nodes, in slots as long as the window, of which a window touches two at most.
-  In any two there are 3 requests, which are within the bound of every N. Where servers report how many
-  connections fill them, which all nodes hear alike, there are more: a server takes at least what fills it in
-  its warm-up, and N follows from that. Turns for fewer requests are among those for more, so that nodes that
-  know different values together stay within the highest.
-- Share turns are this node's part of N, by what it measured before the disturbance (see capacity_reference).
-  Nodes' estimates differ, so their sum in one window varies by chance; `SHARE_OF_BUDGET` keeps it within the
-  bound by four standard deviations and more.
-
-A turn is taken when an attempt is decided on and has to be used by the end of its slot: `confirm` is called
-in the moment in which the request is written.
+"""Slow start: limits what this node sends a server that is warming up, so that the tier stays within a bound.
+
+The operators bound the requests that a server gets from all nodes within a window: N, which is
+`overload_factor` times the server's present capacity, plus an allowance for chance of 2 * sqrt(N) + 2 (for N
+under 30: 3 * sqrt(N) + 3). A turn is the right to send one request to a server within one time slot. A node's
+turns come from two schedules (see slow_start_schedule):
+
+- Base turns are scheduled identically at all nodes, in slots as long as the window, so that a window overlaps
+  two slots at most. Any two adjacent slots contain 3 requests, which is within the bound for every N. If
+  servers report the number of connections that fills them, which all nodes receive alike, there are more base
+  turns: a server accepts at least that number during its warm-up, and N follows from it. The turns for a
+  smaller number are a subset of those for a larger one, so nodes that know different numbers together stay
+  within the turns for the largest.
+- Share turns are this node's share of N, based on the rate measured before the disturbance (see
+  capacity_reference). The estimates of the nodes differ, so their sum in one window varies by chance;
+  `SHARE_OF_BUDGET` leaves a margin of at least four standard deviations to the bound.
+
+A turn is acquired when an attempt is decided on, and must be used before its slot ends: `confirm_send` checks
+it directly before the request is written.
 """
 
 from __future__ import annotations
@@ -28,24 +30,24 @@
 from limerudder.policy.settings import Settings
 from limerudder.policy.slow_start_schedule import SlotSchedule
 
-MIN_REQUESTS_PER_SLOT = 1.5  #: base turns of all nodes together
-SLOTS_IN_A_WINDOW = 2  #: that a window touches
-REPORTED_SHARE = 0.8  #: of the capacity that reports tell; they are noisy
-#: Of the operators' allowance for chance, N under 30; the rest is left to requests of more than mean work.
+MIN_REQUESTS_PER_SLOT = 1.5  #: Minimum of the base turns of all nodes in a slot, on average
+MAX_SLOTS_OVERLAPPED = 2  #: Maximum number of base slots that a window overlaps
+REPORTED_SHARE = 0.8  #: Share of the reported capacity that is used, since reports are noisy
+#: Share of the operators' allowance that is used (formula for N under 30); the rest covers costly requests.
 ALLOWANCE_SHARE = 0.5
 ALLOWANCE_ROOTS = 3
 ALLOWANCE_REQUESTS = 3
-GROWTH_SHARE = 0.5  #: of a steady growth over the warm-up; nobody tells how a server grows
+GROWTH_SHARE = 0.5  #: Share of linear growth that base turns assume, since the real growth is unknown
 SHARE_OF_BUDGET = 0.5
 SHARE_SLOTS_PER_WINDOW = 4
 MIN_WINDOW_US = SECOND // 10
-#: How long a process may be held up between its decision and the last byte on the wire; base turns end so
-#: much before their slot does.
+#: Maximum delay of a process between a decision and the last byte on the wire; base turns end earlier than
+#: their slot by this time.
 MAX_STALL_US = 150_000
-MAX_STALL_SHARE_OF_SLOT = 8  #: at most an eighth of a slot
+MAX_STALL_SHARE_OF_SLOT = 8  #: Divisor: a slot's length divided by this limits MAX_STALL_US
 NEVER_US = 1 << 62
 NO_SLOT = -1
-UNKNOWN_NODE_INDEX = -1  #: of a node that the settings do not number: it has no turns
+UNKNOWN_NODE_INDEX = -1  #: Index of a node that has none in the settings; it gets no turns
 
 
 class SlowStartBudget:
@@ -61,24 +63,24 @@
         self._base = SlotSchedule(index, count, self._window_us)
         self._shares = SlotSchedule(index, count, self._window_us // SHARE_SLOTS_PER_WINDOW)
         self._node_count = count
-        self._stall_us = min(MAX_STALL_US, self._window_us // MAX_STALL_SHARE_OF_SLOT)
-        #: Turns of slots that began earlier may have been used by another process of this node.
+        self._max_stall_us = min(MAX_STALL_US, self._window_us // MAX_STALL_SHARE_OF_SLOT)
+        #: Turns in slots that began earlier may have been used by another process of this node.
         self._first_slot_start_us = NEVER_US
-        self._in_turn: list[Server] = []  # as of the share slot in which they were looked up
-        self._in_turn_slot = NO_SLOT
-        self._in_turn_among: Collection[Server] = ()
+        self._cached_servers: list[Server] = []  # servers with turns, cached for `_cached_slot`
+        self._cached_slot = NO_SLOT
+        self._cached_warming_up: Collection[Server] = ()
 
-    def take_turns_from(self, now_us: int) -> None:
+    def start_using_turns(self, now_us: int) -> None:
         """Use this node's turns from the next slot on.
 
-        Called when this process begins, or takes over from another process of the same node: whatever that
-        one may have sent in the present slot is unknown here.
+        Called when this process starts, or replaces another process of the same node: the requests that
+        the other one sent in the present slot are unknown here.
         """
         self._first_slot_start_us = now_us
-        self._in_turn_slot = NO_SLOT
+        self._cached_slot = NO_SLOT
 
-    def leave_turns(self) -> None:
-        """Use no turn any more: another process of this node does."""
+    def stop_using_turns(self) -> None:
+        """Stop using turns, because another process of this node uses them."""
         self._first_slot_start_us = NEVER_US
 
     def is_warming_up(self, server: Server, now_us: int) -> bool:
@@ -92,42 +94,42 @@
         self._refresh(server, now_us)
         return server.share_turns.left > 0 or self._has_base_turn(server, now_us)
 
-    def servers_in_turn(self, warming_up: Collection[Server], now_us: int) -> list[Server]:
+    def servers_with_turns(self, warming_up: Collection[Server], now_us: int) -> list[Server]:
         """Return the servers among `warming_up` at which this node has a turn.
 
-        All of them are looked at once a slot only, since thousands may warm up at a time. `warming_up` is
-        replaced by another object when it changes.
+        The result is cached for each slot, since thousands of servers may warm up at a time. `warming_up`
+        must be replaced by a new object when it changes.
         """
         slot = self._shares.slot_at(now_us)
-        if slot != self._in_turn_slot or warming_up is not self._in_turn_among:
-            self._in_turn_slot = slot
-            self._in_turn_among = warming_up
-            self._in_turn = [server for server in warming_up if self.allows(server, now_us)]
+        if slot != self._cached_slot or warming_up is not self._cached_warming_up:
+            self._cached_slot = slot
+            self._cached_warming_up = warming_up
+            self._cached_servers = [server for server in warming_up if self.allows(server, now_us)]
         return [
             server
-            for server in self._in_turn
+            for server in self._cached_servers
             if self.is_warming_up(server, now_us) and self.allows(server, now_us)
         ]
 
-    def take(self, server: Server, now_us: int) -> Permit | None:
-        """Take a turn at a server that is warming up; None if there is none."""
+    def acquire(self, server: Server, now_us: int) -> Permit | None:
+        """Acquire a turn at a server that is warming up; return None if there is none."""
         self._refresh(server, now_us)
-        if server.share_turns.left > 0:  # first, since it ends sooner
+        if server.share_turns.left > 0:  # share turns first, since they expire sooner
             server.share_turns.left -= 1
             return Permit(server, self._shares.start_us(server.share_turns.slot + 1))
         if self._has_base_turn(server, now_us):
             server.base_turns.left -= 1
-            return Permit(server, self._base_end_us(server.base_turns.slot))
+            return Permit(server, self._base_turns_expire_at_us(server.base_turns.slot))
         return None
 
     def _has_base_turn(self, server: Server, now_us: int) -> bool:
-        return server.base_turns.left > 0 and now_us < self._base_end_us(server.base_turns.slot)
+        return server.base_turns.left > 0 and now_us < self._base_turns_expire_at_us(server.base_turns.slot)
 
-    def _base_end_us(self, slot: int) -> int:
-        return self._base.start_us(slot + 1) - self._stall_us
+    def _base_turns_expire_at_us(self, slot: int) -> int:
+        return self._base.start_us(slot + 1) - self._max_stall_us
 
     def _refresh(self, server: Server, now_us: int) -> None:
-        """Give the server's record the turns of the slots that the time lies in."""
+        """Update the server's turns to the slots that contain this time."""
         self._enter_slot(self._base, server.base_turns, server, now_us)
         self._enter_slot(self._shares, server.share_turns, server, now_us)
 
@@ -144,23 +146,23 @@
         turns.left = schedule.turns(server.id, slot, mean)
 
     def _mean_base_turns(self, server: Server, now_us: int) -> float:
-        """Return this node's part of what all nodes may send in a slot, whatever they measured."""
+        """Return this node's share of the base turns in a slot, independent of measured rates."""
         settings = self._settings
         connections = REPORTED_SHARE * self._loads.connections_per_weight * server.weight
         full_rate = connections * SECOND / max(settings.warm_up_us, 1)
         capacity_share = self._capacity_share(server, GROWTH_SHARE, now_us)
         budget = settings.overload_factor * capacity_share * full_rate * self._window_us / SECOND
         allowance = ALLOWANCE_SHARE * (ALLOWANCE_ROOTS * sqrt(budget) + ALLOWANCE_REQUESTS)
-        return max((budget + allowance) / SLOTS_IN_A_WINDOW, MIN_REQUESTS_PER_SLOT) / self._node_count
+        return max((budget + allowance) / MAX_SLOTS_OVERLAPPED, MIN_REQUESTS_PER_SLOT) / self._node_count
 
     def _capacity_share(self, server: Server, growth_share: float, now_us: int) -> float:
-        """Return what the server can do by now as a share of its full capacity."""
+        """Return the present capacity of a server as a share of its full capacity."""
         settings = self._settings
         age = min(max(now_us - server.ready_since_us, 0) / max(settings.warm_up_us, 1), 1.0)
         return settings.initial_capacity + (1 - settings.initial_capacity) * age * growth_share
 
     def _mean_share_turns(self, server: Server, now_us: int) -> float:
-        """Return this node's part of N, in share slots."""
+        """Return this node's share of N for one share slot."""
         settings = self._settings
         capacity_share = self._capacity_share(server, 1.0, now_us)
         usual_rate = self.reference.rate_per_weight(now_us) * server.weight
--- a/limerudder/policy/timers.py
+++ b/limerudder/policy/timers.py
@@ -1,4 +1,4 @@
-"""Timer tokens, and the timers that bring a single connection back to the policy's attention."""
+"""Timer tokens, and the timers of single connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TimerToken(IntEnum):
-    """Tokens of the periodic timers; larger tokens stand for one connection each."""
+    """Tokens of the periodic timers; each larger token belongs to one connection."""
 
     LOAD_SWEEP = 0
     DISCOVERY_POLL = 1
@@ -20,7 +20,7 @@
 
 
 class ConnectionTimers:
-    """One-shot timers of connections: a waiting request, or a migration that was put off."""
+    """One-shot timers of connections, for waiting requests and delayed migrations."""
 
     def __init__(self, actions: list[Action]) -> None:
         self.pending: dict[int, Connection] = {}
@@ -28,11 +28,11 @@
         self._last_token = int(TimerToken.LAST_RESERVED)
 
     def schedule(self, connection: Connection, due_at_us: int) -> None:
-        """Set a timer for this connection."""
+        """Set a timer for a connection."""
         self._last_token += 1
         self.pending[self._last_token] = connection
         self._actions.append(SetTimer(due_at_us, self._last_token))
 
-    def take(self, token: int) -> Connection | None:
-        """Return the connection whose timer fired, or None for an unknown token."""
+    def pop(self, token: int) -> Connection | None:
+        """Remove and return the connection whose timer fired; return None for an unknown token."""
         return self.pending.pop(token, None)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -135,7 +135,7 @@
     slow_start = driver.balancer.slow_start
     taken = 0
     for _ in range(slots * 8):
-        while slow_start.take(server, driver.now_us):
+        while slow_start.acquire(server, driver.now_us):
             taken += 1
         driver.now_us += driver.settings.overload_window_us // 8
     return taken
@@ -325,7 +325,7 @@
     slow_start = driver.balancer.slow_start
     new = [driver.balancer.registry.servers[server_id] for server_id in new_servers]
     for server in new:
-        while slow_start.take(server, driver.now_us):
+        while slow_start.acquire(server, driver.now_us):
             pass
     assert not any(slow_start.allows(server, driver.now_us) for server in new)
     for server_id in (1, 2):
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -225,7 +225,7 @@
     taken = dict.fromkeys(weights, 0)
     for _ in range(240):
         for server_id in weights:
-            while slow_start.take(driver.balancer.registry.servers[server_id], driver.now_us):
+            while slow_start.acquire(driver.balancer.registry.servers[server_id], driver.now_us):
                 taken[server_id] += 1
         driver.now_us += SETTINGS.overload_window_us // SHARE_SLOTS_PER_WINDOW
     assert taken[3] == pytest.approx(4 * taken[4], rel=0.1)
@@ -287,7 +287,7 @@
     request_id = driver.request()
     balancer = driver.balancer
     assert driver.server_of(request_id) == 1
-    while balancer.slow_start.take(balancer.registry.servers[1], driver.now_us):
+    while balancer.slow_start.acquire(balancer.registry.servers[1], driver.now_us):
         pass
     slot_end_us = -(-driver.now_us // SETTINGS.overload_window_us + 1) * SETTINGS.overload_window_us
     assert balancer.confirm_send(request_id, 1, driver.now_us)
