--- a/tests/test_policy_fleet.py
+++ b/tests/test_policy_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of whole tiers of policies, without a network: what is harmless in one node and harmful in all."""
+"""Tests of tiers of policies without a network, for faults that only harm when all nodes act alike."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def test_nodes_that_restart_together_with_a_cached_list_serve_from_it_and_spread_requests() -> None:
-    """Seven in ten nodes start together; discovery answers none of them."""
+    """Seven in ten nodes start at the same time, and discovery answers none of them."""
     tier = Tier(replace(TIER_SETTINGS, discovery="on_request"))
     tier.run(5 * SECOND)
     restarted = range(14)
@@ -43,7 +43,7 @@
 
 
 def test_first_requests_of_nodes_that_start_together_have_different_candidates() -> None:
-    """Request ids begin at 1 at every node: without a group, all walked the ring from the same place."""
+    """Request ids begin at 1 at every node; used as ring keys, they led to the same candidates."""
     candidates = set[tuple[int, ...]]()
     for index in range(NODE_COUNT):
         settings = replace(TIER_SETTINGS, node_index=index, allows_health_checks=False)
@@ -55,9 +55,9 @@
 
 
 def test_a_zone_that_returns_in_slow_start_is_not_overloaded_by_all_nodes() -> None:
-    """Every node prefers it at once: what all send in 2 s stays within three times its capacity."""
+    """All nodes prefer the zone at once; their requests in 2 s stay within three times its capacity."""
     tier = Tier(load=0.1)
-    for _ in range(10):  # the tier's usual rate: four a second, for six servers
+    for _ in range(10):  # the tier's usual rate is four per second for six servers
         tier.connect_clients(range(4), 1)
     cold_server = server_entry(1, ready_since_us=tier.nodes[0].now_us)
     for node in tier.nodes:
@@ -66,12 +66,12 @@
     attempts_before = count_attempts(tier, server_id=1)
     for _ in range(2):
         tier.connect_clients(range(NODE_COUNT), 4)
-    # 160 clients in 2 s, 27 to a server; three times a quarter of that is 20. With no budget it got 51
+    # 160 clients in 2 s are 27 per server, and three times a quarter of that is 20. Without budget: 51.
     assert count_attempts(tier, server_id=1) - attempts_before <= 20
 
 
 def count_attempts(tier: Tier, server_id: int) -> int:
-    """Return the number of attempts at a server that all nodes have started."""
+    """Return the number of attempts that all nodes have started at a server."""
     return sum(
         attempt.server_id == server_id
         for node in tier.nodes
@@ -80,9 +80,9 @@
 
 
 def test_the_load_of_a_draining_server_is_expected_at_the_others() -> None:
-    """Six in ten hosts were replaced in 7 s: 40 nodes filled those that earlier reports showed as idle."""
+    """When six in ten servers were replaced in 7 s, 40 nodes filled those that old reports showed idle."""
     driver = Driver(TIER_SETTINGS, servers=SERVERS)
-    driver.report_load(1, 0.6)  # shorter than the settings' reports, so it tells no load
+    driver.report_load(1, 0.6)  # shorter than a report of these settings, so it has no load
     for server_id in range(2, 7):
         load_report = (0.0, 10.0, 0.6 if server_id < 4 else 0.2)
         driver.deliver(HealthCheckResult(server_id, 1000, AttemptOutcome.OK, load_report))
@@ -100,7 +100,7 @@
 
 
 def loads_by_server(driver: Driver) -> dict[int, float]:
-    """Return the load that the policy assumes of each server, 0 where it knows none."""
+    """Return the load that the policy assumes for each server, 0 if unknown."""
     servers = driver.balancer.registry.servers
     return {server_id: servers[server_id].load or 0 for server_id in range(1, 7)}
 
@@ -133,7 +133,7 @@
             if request_id in node.attempts:
                 node.establish(request_id)
                 node.end_attempt(request_id, AttemptOutcome.OK)
-        assert attempts_at_outlier <= 2  # one, and a trial after a second
+        assert attempts_at_outlier <= 2  # one, and a trial after one second
 
 
 def test_every_request_is_answered_while_all_servers_but_one_are_full() -> None:
@@ -151,10 +151,10 @@
             driver.run(SECOND // 10)
         driver.run(SECOND)
         assert driver.requests[request_id].answered
-    assert established >= 15  # requests that have attempts left find the one with capacity
+    assert established >= 15  # requests with attempts left find the server with capacity
 
 
-def test_a_node_with_one_request_a_second_is_as_informed_as_the_tier() -> None:
+def test_a_node_with_one_request_a_second_has_the_loads_of_all_servers() -> None:
     tier = Tier()
     for _ in range(6):
         tier.connect_clients(range(3, 4), 1)
@@ -163,18 +163,18 @@
     assert len(node.actions_of_type(CheckHealth)) <= 2 * len(SERVERS)
 
 
-def test_a_silent_discovery_is_asked_again_and_the_list_of_before_serves(tmp_path: Path) -> None:
-    """Seven in ten nodes begin together and overbook discovery: it takes the call, and no answer comes."""
-    here = node_testbed(tmp_path)
-    asked = 0
+def test_an_unanswering_discovery_is_polled_again_and_the_previous_list_is_used(tmp_path: Path) -> None:
+    """Seven in ten nodes start at once and overload discovery, which accepts calls but does not answer."""
+    testbed = node_testbed(tmp_path)
+    dials_seen = 0
     for _ in range(60):
-        for dial in here.dials[asked:]:
-            if dial.address == here.node.config.discovery and not dial.closed:
-                dial.accept(here.now)
-        asked = len(here.dials)
-        here.run(SECOND // 2)
-    calls = here.node.counters[CounterName.DISCOVERY_CALLS]
-    failures = here.node.counters[CounterName.DISCOVERY_FAILURES]
-    assert 3 <= failures <= calls <= 30, "asked again, and less often than it could bear"
-    assert any(line.startswith("discovery: a call failed") for line in here.logged)
-    here.establish_client()
+        for dial in testbed.dials[dials_seen:]:
+            if dial.address == testbed.node.config.discovery and not dial.closed:
+                dial.accept(testbed.now)
+        dials_seen = len(testbed.dials)
+        testbed.run(SECOND // 2)
+    calls = testbed.node.counters[CounterName.DISCOVERY_CALLS]
+    failures = testbed.node.counters[CounterName.DISCOVERY_FAILURES]
+    assert 3 <= failures <= calls <= 30, "polled again, at a rate that discovery can sustain"
+    assert any(line.startswith("discovery: a call failed") for line in testbed.logged)
+    testbed.establish_client()
--- a/tests/test_policy_rules.py
+++ b/tests/test_policy_rules.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences; the driver checks every action against the rules, and the counts."""
+"""Random legal event sequences; the driver checks every action against the rules, and all counts."""
 
 from __future__ import annotations
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -16,11 +16,11 @@
     server_entries,
 )
 
-DIAL_LIMIT_US = BASE_SETTINGS.connect_timeout_us
+CONNECT_TIMEOUT_US = BASE_SETTINGS.connect_timeout_us
 KEY_WINDOW_US = BASE_SETTINGS.classes[KEYED_EVERYWHERE].idempotency_window_us
 
 
-def test_a_retry_leaves_out_servers_that_were_tried() -> None:
+def test_a_retry_excludes_servers_that_were_tried() -> None:
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(3))
     request_id = driver.request()
     tried = {driver.server_of(request_id)}
@@ -41,7 +41,7 @@
 
 
 def test_an_attempt_outlasts_the_latency_objective_while_half_of_the_time_is_left() -> None:
-    """Incident r3c1a4b: after a restart 25 attempts were given up at the objective and retried."""
+    """Incident r3c1a4b: after a restart, 25 attempts were cancelled at the objective and retried."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     request_id = driver.request()
     first_server = driver.server_of(request_id)
@@ -54,7 +54,7 @@
     driver.run(SECOND * 4 // 10)
     assert (
         driver.attempts_started[late_request] == 1
-    ), "with little time left, an attempt has the objective's time"
+    ), "with little time left, an attempt may take as long as the objective"
 
 
 def test_requests_wait_and_are_rejected_on_an_empty_endpoint_list() -> None:
@@ -67,12 +67,12 @@
 
 @pytest.mark.parametrize(
     ("elapsed_us", "retried"),
-    [(KEY_WINDOW_US - DIAL_LIMIT_US - 1, True), (KEY_WINDOW_US - DIAL_LIMIT_US, False)],
+    [(KEY_WINDOW_US - CONNECT_TIMEOUT_US - 1, True), (KEY_WINDOW_US - CONNECT_TIMEOUT_US, False)],
 )
-def test_a_keyed_request_is_retried_only_while_a_slow_dial_would_end_within_its_window(
+def test_a_keyed_request_is_retried_only_if_a_slow_connect_would_end_within_its_window(
     elapsed_us: int, retried: bool
 ) -> None:
-    """The line is written when the connection is up, as late as the settings let a dial take."""
+    """The request is written once the connection is established, which may take the full connect timeout."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(4))
     request_id = driver.request(traffic_class=KEYED_EVERYWHERE)
     driver.now_us += elapsed_us
@@ -90,7 +90,7 @@
 
 
 def test_attempts_that_fail_at_all_servers_are_paced() -> None:
-    """Incident i4f7320: immediate retries kept the shared store overloaded (185 attempts a request)."""
+    """Incident i4f7320: immediate retries kept the shared store overloaded (185 attempts per request)."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(20))
     for _ in range(50):
         driver.request()
@@ -104,7 +104,7 @@
         driver.run(50_000)
     assert len(driver.actions_of_type(StartAttempt)) - attempts_before <= 4
     driver.run(3 * SECOND)
-    for _ in range(30):  # the store has recovered: successes end the pacing
+    for _ in range(30):  # the store has recovered, so successes end the pacing
         driver.request()
         driver.run(SECOND // 3)
         for request_id in driver.pending_requests():
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -18,8 +18,8 @@
 WITHOUT_GROUPS = replace(BASE_SETTINGS, has_groups=False)
 WITHOUT_REPORTS = replace(BASE_SETTINGS, allows_health_checks=False)
 CHOICES = 2  # d of the power of d choices
-LOAD_LEVELS = 2  # levels of load that servers are tried at, one after the other
-MAX_CANDIDATES = 16  # servers that are looked at for each level
+LOAD_LEVELS = 2  # number of load levels at which servers are tried in succession
+MAX_CANDIDATES = 16  # maximum number of servers examined per level
 
 
 def test_the_candidate_with_fewer_own_connections_is_selected() -> None:
@@ -30,7 +30,7 @@
 
 
 def test_candidates_are_drawn_at_random_among_more_than_d_servers() -> None:
-    """With d = 2 of 10 the emptiest server is not always drawn: it is a sample, not a scan."""
+    """With d = 2 of 10, the emptiest server is not always selected: servers are sampled, not scanned."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(10))
     for server_id in range(1, 10):
         driver.add_connection(server_id)
@@ -40,7 +40,7 @@
         if driver.server_of(request_id) == 10:
             selections_of_emptiest += 1
         driver.end_attempt(request_id, AttemptOutcome.OK)
-    assert 20 < selections_of_emptiest < 80  # 2 in 10 draws contain it
+    assert 20 < selections_of_emptiest < 80  # 2 in 10 samples contain it
 
 
 def test_a_server_that_reports_a_higher_load_is_avoided() -> None:
@@ -55,7 +55,7 @@
 
 
 def test_servers_that_are_all_at_the_mean_load_reject_nobody() -> None:
-    """Incident i4f7320: 32 servers healthy at 0.74, none below the mean, every request rejected."""
+    """Incident i4f7320: 32 healthy servers at load 0.74, none below the mean, and all requests rejected."""
     driver = Driver(WITHOUT_GROUPS, servers=server_entries(4))
     for server_id in range(1, 5):
         for _ in range(10):
@@ -66,7 +66,7 @@
 
 
 def test_independent_nodes_select_the_same_servers_for_a_group() -> None:
-    """In a large tier no node holds any of a group; were servers drawn at random, all would do its work."""
+    """In a large tier a node has no connection of a group; random selection would involve all servers."""
     selected = []
     for seed in range(40):
         driver = Driver(WITHOUT_REPORTS, seed, server_entries(50))
@@ -80,7 +80,7 @@
 def test_a_request_costs_the_same_with_ten_and_with_two_hundred_servers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Incident if1c6f9: while all were full, each selection looked at every server, 431 us an event."""
+    """Incident if1c6f9: while all servers were full, each selection checked every one: 431 us an event."""
     eligibility_checks: list[int] = []
     is_eligible = ServerSelector.is_eligible
 
@@ -106,7 +106,7 @@
 
 
 def fill_all_servers(driver: Driver) -> None:
-    """Open two connections at each server, and limit it to one."""
+    """Open two connections at each server, and set its limit to one."""
     for server_id, server in driver.balancer.registry.servers.items():
         for _ in range(2):
             driver.add_connection(server_id)
@@ -114,7 +114,7 @@
         server.connection_limit_set_at_us = driver.now_us
 
 
-def test_a_group_stays_on_the_servers_that_hold_it() -> None:
+def test_a_group_stays_on_its_servers() -> None:
     driver = Driver(WITHOUT_REPORTS, servers=server_entries(8))
     servers_of_one_group = {driver.server_of(driver.connect(group=7)) for _ in range(20)}
     assert len(servers_of_one_group) == 1
@@ -139,10 +139,10 @@
 
 
 def test_a_group_is_not_scattered_where_its_servers_are_full() -> None:
-    """Each further server repeats the group's shared work: 119 pairs of group and server became 680."""
+    """Each additional server repeats the group's shared work: 119 pairs of group and server became 680."""
     settings = replace(BASE_SETTINGS, prices={"probe": 0.002}, node_count=600)
     selected = set()
-    for seed in range(20):  # as many nodes that know nothing of each other
+    for seed in range(20):  # one node each, without gossip
         driver = Driver(settings, seed, server_entries(60))
         driver.request(group=7)
         for _ in range(12):
@@ -154,7 +154,7 @@
 
 
 def test_servers_with_a_higher_weight_are_drawn_more_often() -> None:
-    """Drawn alike, hosts of 1.5 stood at 1.5 times their capacity while those of 4 stood at 0.05."""
+    """With uniform sampling, servers of weight 1.5 had load 1.5, and those of weight 4 had load 0.05."""
     weights = dict.fromkeys(range(1, 11), 1.0)
     weights[1] = 4.0
     weights[2] = 4.0
@@ -162,10 +162,10 @@
     selections_of_large_servers = 0
     for seed in range(40):
         driver = Driver(MINIMAL_SETTINGS, seed, entries)
-        for _ in range(5):  # as many nodes that hold a few connections each
+        for _ in range(5):  # one node each, with few connections
             if driver.server_of(driver.connect()) <= 2:
                 selections_of_large_servers += 1
-    assert 70 < selections_of_large_servers < 150  # of 200: half by weight, a fifth by number
+    assert 70 < selections_of_large_servers < 150  # 200 selections; half by weight, a fifth by number
 
 
 def test_a_draw_among_thousands_weighs_no_more_servers_than_among_hundreds() -> None:
@@ -180,13 +180,13 @@
 
     loads.effective_size = counting_effective_size  # type: ignore[method-assign]
     ready = driver.balancer.registry.ready
-    drawn_first = {driver.balancer.selector.sample(ready)[0].id for _ in range(100)}
+    sampled_first = {driver.balancer.selector.sample(ready)[0].id for _ in range(100)}
     assert len(weighed) <= 100 * MAX_WEIGHED_SERVERS
-    assert len(drawn_first) > 90, "any of them may be drawn"
+    assert len(sampled_first) > 90, "each server can be sampled"
 
 
-def test_whether_any_server_is_healthy_is_known_without_a_look_at_each_in_slow_start() -> None:
-    """Report 47952f: with 3,200 hosts in slow start each draw looked at the turns of all of them."""
+def test_whether_any_server_is_healthy_is_found_without_checking_each_in_slow_start() -> None:
+    """Report 47952f: with 3,200 servers in slow start, each selection checked the turns of all of them."""
     driver = Driver(BASE_SETTINGS, servers=server_entries(40))
     selector = driver.balancer.selector
     registry = driver.balancer.registry
