--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -42,15 +42,15 @@
     driver.run(SECOND)
     assert driver.requests[request_id].answered
     assert request_id not in driver.attempts
-    driver.run(2 * SECOND)  # the limit rises by a tenth of ten a second
+    driver.run(2 * SECOND)  # the limit of ten rises by a tenth per second
     assert driver.server_of(driver.request()) == 1
 
 
 def test_a_server_in_slow_start_keeps_to_its_budget() -> None:
-    """A new server has no connections and would win every draw; the budget, not the count, must decide.
+    """A new server has no connections and would always be selected, so the budget has to limit it.
 
-    Both nodes together stay within what the operators allow in every window of a second: N is twice what the
-    server can do, by the 20 connections a second that nine servers get.
+    In every window of one second, both nodes together stay within the operators' bound. N is twice the
+    server's present capacity, which follows from the 20 connections per second at nine servers.
     """
     attempts_at_new_server = 0
     for seed in range(20):
@@ -78,7 +78,7 @@
 
 
 def connect_and_end(drivers: list[Driver]) -> list[int]:
-    """Let a request come to each node and its connection end; return the servers that they went to."""
+    """Send each node a request and end its connection; return the servers that were selected."""
     servers = list[int]()
     for driver in drivers:
         request_id = driver.connect()
@@ -112,7 +112,7 @@
 def test_a_server_in_slow_start_gets_no_more_for_reports_of_spare_capacity(
     load: float | None, mean_load: float, node_count: int, predecessor_connections: int
 ) -> None:
-    """What it may be sent is known from before it started: a disturbance changes what reports say."""
+    """The budget is based on the rate before the server's start, as a disturbance distorts reports."""
     settings = replace(MINIMAL_SETTINGS, node_count=node_count)
     turns = set[int]()
     for is_reported in (False, True):
@@ -131,18 +131,18 @@
 
 
 def count_turns(driver: Driver, server: Server, slots: int) -> int:
-    """Take all turns that the node has at a server in slow start in so many overload windows."""
+    """Acquire and count a node's turns at a server in slow start over a number of overload windows."""
     slow_start = driver.balancer.slow_start
-    taken = 0
+    acquired = 0
     for _ in range(slots * 8):
         while slow_start.acquire(server, driver.now_us):
-            taken += 1
+            acquired += 1
         driver.now_us += driver.settings.overload_window_us // 8
-    return taken
+    return acquired
 
 
 def test_a_fleet_in_slow_start_is_not_counted_as_one_server() -> None:
-    """What a server can do is known from before: no server less is warm for it, or all of them."""
+    """The capacity reference does not change when all servers, or all but one, restart."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(9))
     for _ in range(18):
         driver.connect()
@@ -186,7 +186,7 @@
 
 
 def test_attempts_at_a_server_are_limited_and_the_other_servers_are_used_meanwhile() -> None:
-    """A node that had just restarted started 26 attempts at the one server it knew, in half a second."""
+    """A node that had just restarted started 26 attempts at the only listed server within half a second."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     requests = [driver.request() for _ in range(12)]
     started = [request_id for request_id in requests if request_id in driver.attempts]
@@ -204,7 +204,7 @@
 
 
 def driver_with_reports(settings: Settings, reported_connections: float, load: float) -> Driver:
-    """A node without connections, after a sweep in which two servers have reported the same."""
+    """Return a node without connections, after a sweep in which both servers reported the same."""
     driver = Driver(settings, servers=server_entries(2))
     for server_id in (1, 2):
         report = (reported_connections, load)
@@ -219,7 +219,7 @@
 def test_marginal_load_is_computed_from_reported_connections(
     reported_connections: float, load_per_connection: float
 ) -> None:
-    """A node that had just restarted estimated that each connection took 0.15 of a server."""
+    """A node that had just restarted estimated the load of each connection at 0.15 of a server."""
     driver = driver_with_reports(CONNECTIONS_REPORTED, reported_connections, 0.6)
     assert driver.balancer.loads.load_per_connection == pytest.approx(load_per_connection)
 
@@ -230,7 +230,7 @@
 def test_reconnecting_clients_are_not_counted_twice_while_the_fleet_has_capacity(
     flags: int, load: float, established: int
 ) -> None:
-    """A node stopped, and its clients were rejected for lack of the capacity that they had just used."""
+    """After a node had stopped, its clients were rejected although their previous capacity was free."""
     driver = driver_with_reports(CONNECTIONS_REPORTED, 39.0, load)
     for _ in range(40):
         request_id = driver.request(flags=flags)
@@ -251,12 +251,12 @@
     driver.balancer.poller.on_demand = False
     assert (
         driver.request(tenant=0) not in driver.attempts
-    ), "80 connections of tenant 0 here, 160 at both nodes"
+    ), "tenant 0 has 80 connections at this node, 160 at both nodes"
     driver.connect(tenant=1)
 
 
 def test_when_all_servers_are_slow_only_those_with_low_load_get_more() -> None:
-    """Incident i14f10e: all were slow, each was filled to 0.85, and their backlogs never shrank."""
+    """Incident i14f10e: all servers were slow, each was filled to 0.85, and backlogs never shrank."""
     driver = Driver(replace(FREE_HEALTH_CHECKS, has_groups=False), servers=server_entries(2))
     driver.balancer.poller.on_demand = False
     for server_id in (1, 2):
@@ -270,11 +270,11 @@
 
 
 def test_a_node_with_hardly_any_connections_still_finds_capacity() -> None:
-    """After a restart a node's few connections do not tell what one more adds to a server's load."""
+    """After a restart, a node has too few connections to estimate the load that one more adds."""
     driver = Driver(PRICED_HEALTH_CHECKS, servers=server_entries(2))
     driver.report_load(1, 0.65)
     driver.report_load(2, 0.65)
-    driver.run(3 * SECOND)  # a sweep has computed the load per connection
+    driver.run(3 * SECOND)  # a sweep computes the load per connection
     for server_id in (1, 2):
         driver.report_load(server_id, 0.65)
     assert driver.server_of(driver.request()) in (1, 2)
@@ -284,7 +284,7 @@
 def test_where_loads_fluctuate_more_capacity_is_kept_free(
     reported_loads: tuple[float, float], served: bool
 ) -> None:
-    """The last of widely varying reports says little: a server at 0.7 may be beyond 1 soon."""
+    """If reports fluctuate widely, the last one is unreliable: a server at 0.7 may soon exceed 1."""
     driver = Driver(PRICED_HEALTH_CHECKS, servers=server_entries(2))
     for server_id in (1, 2):
         for _ in range(8):
@@ -301,7 +301,7 @@
 
 
 def test_one_low_report_is_smoothed() -> None:
-    """A server long seen at 0.8 counts as 0.6 after one report of 0.4, and as 0.4 only after several."""
+    """After reports of 0.8, one report of 0.4 gives an estimate of 0.6; only several give 0.4."""
     driver = Driver(PRICED_HEALTH_CHECKS, servers=server_entries(2))
     for _ in range(20):
         driver.report_load(1, 0.8)
@@ -316,7 +316,7 @@
 
 
 def test_servers_without_slow_start_budget_do_not_exclude_all_others() -> None:
-    """A fleet grew while all were slow: the new servers looked well but had no budget; none was served."""
+    """A fleet grew while all servers were slow; the new, healthy ones had no budget, and none was used."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     new_servers = range(3, 9)
     driver.update_endpoints(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What all nodes together send to servers in slow start, on one clock: within the budget, and not nothing."""
+"""Tests that all nodes together use servers in slow start, and stay within the budget, on one clock."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class FleetSize(NamedTuple):
-    """What a number of nodes is simulated with."""
+    """Size and traffic of the fleet that is simulated for a number of nodes."""
 
     server_count: int
-    connections_per_second: float  #: new connections at all nodes together
+    connections_per_second: float  #: Total rate of new connections at all nodes
 
 
 FLEET_SIZES_BY_NODE_COUNT = {
@@ -45,14 +45,14 @@
     30: FleetSize(15, 20.0),
     200: FleetSize(60, 80.0),
 }
-LARGE_FLEET_NODE_COUNT = 30  #: fleets of more nodes are simulated for less time
-MEAN_CONNECTION_SECONDS = 60.0  #: so a minute's worth of clients reconnects at once
+LARGE_FLEET_NODE_COUNT = 30  #: Fleets with more nodes are simulated for less time
+MEAN_CONNECTION_SECONDS = 60.0  #: A restart makes the clients of one minute reconnect at once
 
 Disturbance = Callable[[SlowStartFleet], None]
 
 
 def make_warm_fleet(node_count: int, seed: int, load: float, **changes: float) -> SlowStartFleet:
-    """A fleet that has served for a while; some nodes get several times the mean rate of requests."""
+    """Return a fleet after a period of normal traffic; some nodes get several times the mean rate."""
     rng = Random(seed)
     size = FLEET_SIZES_BY_NODE_COUNT[node_count]
     node_weights = [rng.lognormvariate(0, 0.8) for _ in range(node_count)]
@@ -106,14 +106,14 @@
 def test_no_cold_server_is_overloaded_by_all_nodes_together(
     node_count: int, disturbance: Disturbance
 ) -> None:
-    """Beyond a budget of N calls in a window, 2 * sqrt(N) + 2 more are put down to chance."""
+    """The operators allow 2 * sqrt(N) + 2 requests for chance on top of a budget of N in a window."""
     load = 0.5 if disturbance is some_servers_restart_as_traffic_doubles else 0.8
     for seed in range(1 if node_count > LARGE_FLEET_NODE_COUNT else 2):
         fleet = make_warm_fleet(node_count, seed, load)
         disturbance(fleet)
         assert fleet.worst_excess() <= 1, f"seed {seed}"
         restarted_servers = [server_id for server_id, since in fleet.ready_since.items() if since]
-        assert any(fleet.attempts[server_id] for server_id in restarted_servers), "none was ever used"
+        assert any(fleet.attempts[server_id] for server_id in restarted_servers), "none of them was used"
 
 
 @pytest.mark.parametrize(("overload_factor", "overload_window_us"), [(2.0, 1_500_000), (4.0, SECOND)])
@@ -133,7 +133,7 @@
 def test_a_fleet_that_is_cold_as_a_whole_still_serves_and_no_server_is_overloaded(
     node_count: int, nodes_keep_state: bool
 ) -> None:
-    """All servers start at once, as after a zone's return: no warm server tells the usual rate."""
+    """All servers start at once, as after a zone outage, so no warm server provides the usual rate."""
     fleet = make_warm_fleet(node_count, 1, 0.5)
     if not nodes_keep_state:
         fleet.restart_nodes(list(range(node_count)))
@@ -142,7 +142,7 @@
     assert fleet.worst_excess() <= 1
     attempts = sum(map(len, fleet.attempts.values()))
     min_attempts = len(fleet.ready_since) // 2
-    assert attempts >= min_attempts, "within four seconds, though no node knows the usual rate"
+    assert attempts >= min_attempts, "too few attempts in four seconds without a known usual rate"
     fleet.run(20)
     assert fleet.worst_excess() <= 1
     requests_before = fleet.requests
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize(("has_connection", "rate"), [(False, 20 / 61), (True, 20 / 2)])
-def test_the_rate_of_a_process_without_state_is_unknown_and_that_of_one_with_connections_is_its_own(
+def test_the_rate_is_unknown_without_state_and_measured_with_inherited_connections(
     has_connection: bool, rate: float
 ) -> None:
     driver = Driver(SETTINGS, servers=server_entries(2))
@@ -168,7 +168,7 @@
 
 
 def test_reconnections_do_not_count_as_demand() -> None:
-    """Issue 33: a wave of clients whose node had restarted raised the budgets to 1.7 times the usual."""
+    """Issue 33: after a node restart, reconnecting clients raised the budgets to 1.7 times the usual."""
     driver = Driver(SETTINGS, servers=server_entries(2))
     driver.run(SECOND)
     for _ in range(20):
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("change", ["a server restarts", "a server leaves", "a server comes"])
 def test_the_rate_is_not_measured_while_the_fleet_changes(change: str) -> None:
-    """Issue 33: with fewer warm servers, or a wave of clients, each cold server's budget grew."""
+    """Issue 33: fewer warm servers, or a wave of clients, increased the budget of each cold server."""
     driver = Driver(SETTINGS, servers=server_entries(4))
     driver.add_connection(1)
     for _ in range(30):
@@ -207,7 +207,7 @@
 
 
 def test_share_turns_are_in_proportion_to_the_servers_weights() -> None:
-    """Of two cold servers the one with four times the weight gets four times as many turns by estimate."""
+    """Of two cold servers, the one with four times the weight gets four times as many share turns."""
     weights = {3: 2.0, 4: 0.5}
     driver = Driver(replace(SETTINGS, node_count=1000, warm_up_us=600 * SECOND), servers=server_entries(2))
     driver.add_connection(1)
@@ -222,13 +222,13 @@
     )
     slow_start = driver.balancer.slow_start
     driver.run(2 * SECOND)
-    taken = dict.fromkeys(weights, 0)
+    acquired = dict.fromkeys(weights, 0)
     for _ in range(240):
         for server_id in weights:
             while slow_start.acquire(driver.balancer.registry.servers[server_id], driver.now_us):
-                taken[server_id] += 1
+                acquired[server_id] += 1
         driver.now_us += SETTINGS.overload_window_us // SHARE_SLOTS_PER_WINDOW
-    assert taken[3] == pytest.approx(4 * taken[4], rel=0.1)
+    assert acquired[3] == pytest.approx(4 * acquired[4], rel=0.1)
 
 
 @pytest.mark.parametrize("node_count", [1, 2, 3, 7, 30, 200, 1001])
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("node_count", [1, 5, 200])
 @pytest.mark.parametrize("mean_of_all", [0.4, 1.0, 2.7, 40.0])
-def test_equal_turns_of_all_nodes_have_their_sum_in_every_row_of_slots(
+def test_equal_turns_of_all_nodes_add_up_in_every_run_of_slots(
     node_count: int, mean_of_all: float
 ) -> None:
     schedules = [SlotSchedule(index, node_count, SECOND) for index in range(node_count)]
@@ -256,13 +256,13 @@
 
 
 @pytest.mark.parametrize("index", [-1, 4, 9])
-def test_a_process_beyond_those_that_the_settings_tell_has_no_turns(index: int) -> None:
+def test_a_process_outside_the_configured_node_count_has_no_turns(index: int) -> None:
     schedule = SlotSchedule(index, 4, SECOND)
     assert not any(schedule.turns(1, slot, 1.0) for slot in range(50))
 
 
-def test_a_process_has_no_turn_in_the_slot_in_which_it_begins() -> None:
-    """Another process of the same node may have used it before."""
+def test_a_process_has_no_turn_in_the_slot_in_which_it_starts() -> None:
+    """Another process of the same node may have used the turn already."""
     driver = Driver(replace(SETTINGS, node_count=1), servers=server_entries(2))
     driver.update_endpoints([server_entry(3, ready_since_us=driver.now_us)])
     server = driver.balancer.registry.servers[3]
--- a/tests/test_slow_start_faults.py
+++ b/tests/test_slow_start_faults.py
@@ -1,4 +1,4 @@
-"""Issue 33: what all nodes together send servers in slow start, while servers, nodes and clocks fail."""
+"""Issue 33: total requests of all nodes to servers in slow start while servers, nodes and clocks fail."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @pytest.fixture(scope="module")
 def outcomes() -> Iterator[dict[Play, Future[Outcome]]]:
-    """The outcomes of all plays, which run side by side."""
+    """The outcomes of all simulations, which run in parallel."""
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
         yield {play: pool.submit(run_play, play) for play in PLAYS}
 
 
 @pytest.mark.parametrize("play", PLAYS, ids=lambda play: f"{play.setup}-{play.fault}")
-def test_servers_in_slow_start_are_not_overloaded_whatever_fails(
+def test_servers_in_slow_start_are_not_overloaded_during_faults(
     outcomes: dict[Play, Future[Outcome]], play: Play
 ) -> None:
-    """Guards against issue 33: N + 2 * sqrt(N) + 2 requests in a window were passed (N < 30: 3, 3)."""
+    """Guards against issue 33: more than N + 2 * sqrt(N) + 2 requests in a window (N < 30: 3, 3)."""
     outcome = outcomes[play].result()
     assert outcome.excess.worst <= 1, outcome
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -1,4 +1,4 @@
-"""Issue 33 on real processes: what a restarted host gets from all nodes, whatever their clocks say."""
+"""Issue 33 on real processes: requests of all nodes to a restarted host while their clocks are wrong."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def restart_amid_stepped_clocks(tier: MultiProcessTier, library: Path, step_ms: int) -> float:
-    """Restart a host and then all nodes, their clocks this far ahead; return the fullest window's share."""
+    """Restart a host, then all nodes with stepped clocks; return the share used of the fullest window."""
     await tier.start()
     tier.start_clients(CLIENTS)
     warm_from = time.monotonic()
@@ -40,10 +40,10 @@
     tier.discovery.entries["h0"]["startedAtMs"] = int(time.time() * 1000)
     tier.discovery.publish()
     await asyncio.sleep(0.2)
-    told = time.monotonic()  # all have been notified: what was sent before does not count
+    notified = time.monotonic()  # all nodes are notified; earlier requests do not count
     await asyncio.gather(*(restart(node, stepped_clock(library, step_ms)) for node in tier.nodes))
     await asyncio.sleep(OBSERVED_SECONDS)
-    arrivals = [arrival for arrival in tier.hosts["h0"].request_times if arrival > told]
+    arrivals = [arrival for arrival in tier.hosts["h0"].request_times if arrival > notified]
     return fullest_window_share(arrivals, started, usual_rate)
 
 
@@ -53,7 +53,7 @@
 def test_nodes_that_restart_with_stepped_clocks_do_not_overload_a_host_in_slow_start(
     tmp_path: Path, step_ms: int
 ) -> None:
-    """Guards against issue 33: a node whose clock was ahead took a host that had just started for warm."""
+    """Guards against issue 33: a node whose clock was ahead treated a newly started host as warm."""
 
     async def run() -> float:
         tier = MultiProcessTier(tmp_path, NODES, HOSTS, with_store=False)
