--- a/tests/test_policy_fleet.py
+++ b/tests/test_policy_fleet.py
@@ -66,7 +66,7 @@
     attempts_before = count_attempts(tier, server_id=1)
     for _ in range(2):
         tier.connect_clients(range(NODE_COUNT), 4)
-    # 160 clients in 2 s are 27 per server, and three times a quarter of that is 20. Without budget: 51.
+    # 160 clients in 2 s are 27 per server, and three times a quarter of that is 20. Without a budget it got 51.
     assert count_attempts(tier, server_id=1) - attempts_before <= 20
 
 
@@ -163,7 +163,7 @@
     assert len(node.actions_of_type(CheckHealth)) <= 2 * len(SERVERS)
 
 
-def test_an_unanswering_discovery_is_polled_again_and_the_previous_list_is_used(tmp_path: Path) -> None:
+def test_an_unresponsive_discovery_is_polled_again_and_the_previous_list_is_used(tmp_path: Path) -> None:
     """Seven in ten nodes start at once and overload discovery, which accepts calls but does not answer."""
     testbed = node_testbed(tmp_path)
     dials_seen = 0
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -66,7 +66,7 @@
 
 
 def test_independent_nodes_select_the_same_servers_for_a_group() -> None:
-    """In a large tier a node has no connection of a group; random selection would involve all servers."""
+    """In a large tier most nodes have no connection of a group; random selection would use all servers."""
     selected = []
     for seed in range(40):
         driver = Driver(WITHOUT_REPORTS, seed, server_entries(50))
@@ -162,7 +162,7 @@
     selections_of_large_servers = 0
     for seed in range(40):
         driver = Driver(MINIMAL_SETTINGS, seed, entries)
-        for _ in range(5):  # one node each, with few connections
+        for _ in range(5):  # each node has only a few connections
             if driver.server_of(driver.connect()) <= 2:
                 selections_of_large_servers += 1
     assert 70 < selections_of_large_servers < 150  # 200 selections; half by weight, a fifth by number
