--- a/tests/test_policy_fleet.py
+++ b/tests/test_policy_fleet.py
@@ -66,7 +66,7 @@
     attempts_before = count_attempts(tier, server_id=1)
     for _ in range(2):
         tier.connect_clients(range(NODE_COUNT), 4)
-    # 160 clients in 2 s are 27 per server, and three times a quarter of that is 20. Without a budget it got 51.
+    # 160 clients in 2 s are 27 per server; three times a quarter of that is 20. Without a budget it got 51.
     assert count_attempts(tier, server_id=1) - attempts_before <= 20
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -244,9 +244,7 @@
 
 @pytest.mark.parametrize("node_count", [1, 5, 200])
 @pytest.mark.parametrize("mean_of_all", [0.4, 1.0, 2.7, 40.0])
-def test_equal_turns_of_all_nodes_add_up_in_every_run_of_slots(
-    node_count: int, mean_of_all: float
-) -> None:
+def test_equal_turns_of_all_nodes_add_up_in_every_run_of_slots(node_count: int, mean_of_all: float) -> None:
     schedules = [SlotSchedule(index, node_count, SECOND) for index in range(node_count)]
     counts = [
         sum(schedule.turns(9, slot, mean_of_all / node_count) for schedule in schedules) for slot in range(64)
