--- a/limerudder/policy/load_shedding.py
+++ b/limerudder/policy/load_shedding.py
@@ -19,10 +19,10 @@
 #: Pseudo load level: only a server's own report counts, without connections added by this node since then.
 REPORTED_LOAD_ONLY = math.inf
 MAX_PENDING_ATTEMPTS = 4  #: Limit of this node's pending attempts per server
-#: Relative growth of a learned connection limit; a few refusals are the cost of detecting new capacity.
+#: Relative growth of a learned connection limit; a few refusals are the cost of detecting free capacity.
 LIMIT_GROWTH_PER_SECOND = 0.1
 HEALTH_CHECK_ANSWER_US = SECOND  #: Time after which an unanswered health check counts as lost
-#: Number of unanswered health checks from which the fault is assumed in the checks, not in the servers.
+#: Number of unanswered health checks from which the checks are considered faulty, not the servers.
 MAX_UNANSWERED_HEALTH_CHECKS = 16
 
 
--- a/limerudder/policy/pacing.py
+++ b/limerudder/policy/pacing.py
@@ -13,7 +13,7 @@
 RELEASE_RATE_FACTOR = 8 * PACED_RATE_FACTOR  #: Rate at which pacing ends, as a multiple of the usual rate
 MIN_USUAL_RATE = 1.0  #: Lower limit of the usual rate in computations, in connections per second
 MAX_INTERVAL_US = SECOND
-MIN_EXCESS_FAILURES = 3  #: Excess of failures over successes that starts pacing if the usual rate is unknown
+MIN_EXCESS_FAILURES = 3  #: Excess of failures over successes that starts pacing if the rate is unknown
 MAX_EXCESS_FAILURES = 2 * MIN_EXCESS_FAILURES
 
 
@@ -21,7 +21,7 @@
     """Controls the interval between a node's connection attempts."""
 
     def __init__(self) -> None:
-        self.interval_us = 0  #: 0 while attempts are not paced
+        self.interval_us = 0  #: Interval between attempts; 0 while they are not paced
         self._next_slot_us = 0
         self._excess_failures = 0  # excess of failures over successes
 
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -186,7 +186,7 @@
 
 
 def test_attempts_at_a_server_are_limited_and_the_other_servers_are_used_meanwhile() -> None:
-    """A node that had just restarted started 26 attempts at the only listed server within half a second."""
+    """A node that had just restarted started 26 attempts at a single server within half a second."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     requests = [driver.request() for _ in range(12)]
     started = [request_id for request_id in requests if request_id in driver.attempts]
