--- a/limerudder/policy/load_inference.py
+++ b/limerudder/policy/load_inference.py
@@ -229,7 +229,7 @@
         """The share of its capacity that may be asked of a server where a message takes so long."""
         return min(TARGET_LOAD, max(MIN_RETAINED_LOAD, 1 - latency_us / BACKLOG_DRAIN_US))
 
-    def has_room(self, server: Server, level: float, connection: Connection | None, now_us: int) -> bool:
+    def has_capacity(self, server: Server, level: float, connection: Connection | None, now_us: int) -> bool:
         """Whether this node may add a connection, with at most `level` of the server's capacity in use then.
 
         `connection` is None for any connection of the mean load.
--- a/limerudder/policy/load_shedding.py
+++ b/limerudder/policy/load_shedding.py
@@ -38,7 +38,7 @@
     poller: LoadPoller
     slow_start: SlowStartBudget
 
-    def has_room(self, server: Server, level: float = 1.0, connection: Connection | None = None) -> bool:
+    def has_capacity(self, server: Server, level: float = 1.0, connection: Connection | None = None) -> bool:
         """Whether a server is estimated to have capacity for one more connection below a load level."""
         now_us = self.context.clock.now_us
         inferred_loads = self.inferred_loads
@@ -49,7 +49,7 @@
                     return False
             elif self._exceeds_level(server, level, estimate):
                 return False
-        elif not inferred_loads.has_room(server, level, connection, now_us):
+        elif not inferred_loads.has_capacity(server, level, connection, now_us):
             return False
         # A node that has just restarted, or is the only one left, receives a wave of clients. A server that
         # gets all of them at once establishes them late or not at all, and its reports do not show them yet.
--- a/limerudder/policy/rejection_log.py
+++ b/limerudder/policy/rejection_log.py
@@ -44,7 +44,7 @@
         self._next_at_us = now_us + LOG_INTERVAL_US
         ready = self._registry.ready
         healthy = sum(map(self._outliers.is_healthy, ready))
-        with_capacity = sum(map(self._load_shedding.has_room, ready))
+        with_capacity = sum(map(self._load_shedding.has_capacity, ready))
         warm = sum(map(self._load_shedding.slow_start_allows, ready))
         level = self._loads.preferred_max_load
         interval_ms = self._pacer.interval_us // 1000
--- a/limerudder/policy/selection.py
+++ b/limerudder/policy/selection.py
@@ -104,7 +104,7 @@
         """Whether the connection may join a server: it is healthy, has capacity, and the rules allow it."""
         return (
             (ignore_health or self.outliers.is_healthy(server))
-            and self.load_shedding.has_room(server, level, connection)
+            and self.load_shedding.has_capacity(server, level, connection)
             and self.may_join(connection, server)
         )
 
--- a/tests/test_load_inference.py
+++ b/tests/test_load_inference.py
@@ -148,11 +148,11 @@
 def test_a_host_that_resets_two_connections_within_a_second_gets_none_until_that_decays() -> None:
     loads, server = make_inferred_server()
     loads.record_reset(server, 20 * SECOND)
-    assert loads.has_room(server, TARGET_LOAD, None, 20 * SECOND), "a single reset may be chance"
+    assert loads.has_capacity(server, TARGET_LOAD, None, 20 * SECOND), "a single reset may be chance"
     loads.record_reset(server, 20 * SECOND + SECOND // 2)
     server.connections = {}
-    assert not loads.has_room(server, TARGET_LOAD, None, 21 * SECOND)
-    assert loads.has_room(server, TARGET_LOAD, None, 27 * SECOND)
+    assert not loads.has_capacity(server, TARGET_LOAD, None, 21 * SECOND)
+    assert loads.has_capacity(server, TARGET_LOAD, None, 27 * SECOND)
 
 
 def test_an_estimate_makes_a_full_host_the_last_choice_but_rejects_nobody() -> None:
@@ -258,7 +258,7 @@
     assert loads.total_load(server, 11 * SECOND) == pytest.approx(expected_load, rel=0.01)
     expected_excess = loads.own_load(server) * (1 - loads.permitted_load(350_000) / 1.25)
     assert excess == pytest.approx(expected_excess)
-    assert not loads.has_room(server, TARGET_LOAD, None, 11 * SECOND)
+    assert not loads.has_capacity(server, TARGET_LOAD, None, 11 * SECOND)
 
 
 def test_the_load_of_other_nodes_decays_while_a_server_has_no_messages() -> None:
@@ -269,8 +269,8 @@
     total_loads = [loads.total_load(server, (11 + seconds) * SECOND) for seconds in range(8)]
     assert total_loads == sorted(total_loads, reverse=True)
     assert total_loads[7] == pytest.approx(loads.own_load(server))
-    assert not loads.has_room(server, TARGET_LOAD, None, 11 * SECOND)
-    assert loads.has_room(server, TARGET_LOAD, None, 16 * SECOND)
+    assert not loads.has_capacity(server, TARGET_LOAD, None, 11 * SECOND)
+    assert loads.has_capacity(server, TARGET_LOAD, None, 16 * SECOND)
 
 
 def test_a_costly_client_is_recognized_when_it_reconnects() -> None:
