--- a/limerudder/policy/discovery_polling.py
+++ b/limerudder/policy/discovery_polling.py
@@ -1,4 +1,4 @@
-"""When discovery is asked for the endpoint list again, where it is polled."""
+"""Schedules the polls of discovery for the endpoint list, where it is polled."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from limerudder.policy.discovery_timing import Backoff
 from limerudder.policy.timers import TimerToken
 
-#: The subscription is renewed after this part of the poll interval, drawn anew so that nodes spread out.
+#: Fraction of the poll interval until the next renewal, drawn anew each time so that nodes spread out.
 RENEWAL_SHARE = (0.7, 0.9)
 
 
@@ -24,7 +24,7 @@
         self._next_poll_at_us = 0
 
     def poll(self) -> None:
-        """Subscribe, unless a later poll has been scheduled since this one's timer was set."""
+        """Subscribe, unless a later poll has been scheduled since the timer was set."""
         if self._clock.now_us < self._next_poll_at_us:
             return
         self._actions.append(WatchEndpoints(True))
@@ -36,16 +36,16 @@
             self.poll()
 
     def on_update(self) -> None:
-        """Discovery has answered."""
+        """Handle an answer of discovery: schedule the renewal."""
         self._backoff.record_success()
         self._schedule(int(self._poll_interval_us * self._rng.uniform(*RENEWAL_SHARE)))
 
     def on_failure(self) -> None:
-        """Discovery could not be read."""
+        """Handle a failed call to discovery: schedule a retry."""
         self._schedule(self._backoff.record_failure(self._rng))
 
     def _schedule(self, wait_us: int) -> None:
-        """Poll after this time, and no sooner."""
+        """Schedule the next poll after this time; timers set for an earlier one are ignored."""
         if self._enabled:
             self._next_poll_at_us = self._clock.now_us + wait_us
             self._actions.append(SetTimer(self._next_poll_at_us, TimerToken.DISCOVERY_POLL))
--- a/limerudder/policy/draining.py
+++ b/limerudder/policy/draining.py
@@ -1,4 +1,4 @@
-"""Migrates the connections of a server that drains, spread over a short time."""
+"""Migrates the connections of a draining server, spread over a short time."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from limerudder.policy.records import SECOND, Server
 from limerudder.policy.timers import ConnectionTimers
 
-MIGRATION_PERIOD_US = SECOND  #: over which the connections of a draining server are migrated
-#: After a drain began, reconnecting clients may for so long have been connected to the draining server.
+MIGRATION_PERIOD_US = SECOND  #: Time over which the connections of a draining server are migrated
+#: Time after the start of a drain in which reconnecting clients may come from the draining server.
 RECONNECT_PERIOD_US = 3 * SECOND
 
 
 class DrainMigration:
-    """Schedules migrations; the Balancer carries one out when its connection's timer fires."""
+    """Schedules migrations; the Balancer executes each one when its connection's timer fires."""
 
     def __init__(self, context: PolicyContext, timers: ConnectionTimers) -> None:
         self._clock = context.clock
@@ -20,10 +20,10 @@
         self._last_drain_at_us = -RECONNECT_PERIOD_US
 
     def start(self, server: Server) -> None:
-        """Migrate all connections of a server that has begun to drain.
+        """Migrate all connections of a server that has started to drain.
 
-        What it still holds when it stops is cut off; but migrated all at once, the clients would crowd the
-        other servers in one moment.
+        Connections that remain when it stops are cut off; but migrated all at once, the clients would cause
+        a load spike at the other servers.
         """
         now_us = self._clock.now_us
         live = [connection for connection in server.connections.values() if connection.live]
@@ -33,5 +33,5 @@
             self._timers.schedule(connection, now_us + MIGRATION_PERIOD_US * position // len(live))
 
     def clients_may_reconnect(self) -> bool:
-        """Whether reconnecting clients may come from a server that drains."""
+        """Whether reconnecting clients may come from a draining server."""
         return self._clock.now_us < self._last_drain_at_us + RECONNECT_PERIOD_US
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -1,12 +1,12 @@
-"""Load reports shared among the nodes of a tier: whose turn it is to ask all servers, and what it tells.
+"""Gossip of load reports among the nodes of a tier: the order in which nodes poll, and the datagram format.
 
-One node at a time asks every server for a load report and sends the answers to all peers in datagrams. The
-turn goes round in the order of the nodes' numbers. A node that does not hear from the node whose turn it is
-takes over after a short wait that grows with its distance in that order, so no failure detector is needed
+One node at a time polls every server for a load report and sends the reports to all peers in datagrams. The
+nodes take turns in the order of their indexes. A node that receives no round from the node whose turn it is
+takes over after a short delay that grows with its distance in that order, so no failure detector is needed
 (staggered back-off, as SRM suppresses repairs: Floyd et al., "A Reliable Multicast Framework for Light-weight
-Sessions and Application Level Framing", 1997). A node that hears from nobody asks for itself.
+Sessions and Application Level Framing", 1997). A node that receives no rounds polls for itself.
 
-Free of I/O and clock: the current time comes with each call. Times are microseconds.
+Performs no I/O and reads no clock: the current time is passed to each call. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -25,41 +25,41 @@
 from limerudder.policy.settings import Settings
 from limerudder.policy.sweep_segments import own_segment, segment_count
 
-MAX_COST_SHARE = 0.02  #: share of the result that shared reports may cost
-MAX_INDEPENDENT_NODES = 6  #: up to so many nodes, each sees enough of every server by itself
-#: Between one node's turn to take over and the next one's: a round of health checks and a late datagram.
+MAX_COST_SHARE = 0.02  #: Maximum share of the result that shared reports may cost
+MAX_INDEPENDENT_NODES = 6  #: Tier size up to which each node sees enough of every server by itself
+#: Delay between the take-overs of successive nodes: a round of health checks and a late datagram.
 TAKEOVER_STEP_US = SECOND // 10
 MIN_ROUND_INTERVAL_US = SECOND
-MAX_ROUND_INTERVAL_US = 8 * SECOND  #: with a longer interval, reports say nothing about the present
-REPORT_WAIT_US = SECOND // 20  #: time that the servers have to answer within a round
-IDLE_CHECK_INTERVAL_US = 4 * SECOND  #: until the next check while shared reports are not needed
-MEAN_RATE_ROUNDS = 8  #: number of rounds that the mean rates are taken over
+MAX_ROUND_INTERVAL_US = 8 * SECOND  #: With a longer interval, reports would not show the current load
+REPORT_WAIT_US = SECOND // 20  #: Time that the servers have to answer within a round
+IDLE_CHECK_INTERVAL_US = 4 * SECOND  #: Time until the next check while shared reports are not needed
+MEAN_RATE_ROUNDS = 8  #: Number of rounds that the mean rates are computed over
 
-MAGIC = 0xA7  #: first byte of each datagram
+MAGIC = 0xA7  #: First byte of each datagram
 MAX_DATAGRAM_BYTES = 256
-HEADER = struct.Struct("<BHH")  #: magic, rate of new connections, rate of fresh connections
-ROW = struct.Struct("<HBB")  #: low bits of the server's id, load, connections
+HEADER = struct.Struct("<BHH")  #: Magic, rate of new connections, rate of fresh connections
+ROW = struct.Struct("<HBB")  #: Low bits of the server's id, load, connections
 ROWS_PER_DATAGRAM = (MAX_DATAGRAM_BYTES - HEADER.size) // ROW.size
-SERVER_ID_MASK = 0xFFFF  #: the bits of a server's id that a row carries
-LOAD_STEPS = 64  #: encoded steps of a load of 1.0; a load of nearly four or more is sent as the highest step
-RATE_STEPS = 100  #: encoded steps of one connection a second
+SERVER_ID_MASK = 0xFFFF  #: Bits of a server's id that a row carries
+LOAD_STEPS = 64  #: Encoded steps of a load of 1.0; a load of nearly four or more is sent as the highest step
+RATE_STEPS = 100  #: Encoded steps of one connection per second
 MAX_ENCODED_RATE = 0xFFFF
 MAX_ENCODED_BYTE = 0xFF
 
-_AMBIGUOUS = -1  #: in place of a server's id, where two known servers share the bits that a row carries
+_AMBIGUOUS = -1  #: Replaces the id of a server that shares the bits that a row carries with another one
 
 
 class ConnectionRates(NamedTuple):
-    """New connections a second at one node."""
+    """New connections per second at one node."""
 
     total: float
-    fresh: float  #: those that are no reconnections
+    fresh: float  #: Reconnections excluded
 
 
 class LoadRow(NamedTuple):
     """One server's load report within a datagram."""
 
-    server: int  #: low bits of the server's id, or the whole id once it is matched
+    server: int  #: Low bits of the server's id, or the whole id after matching
     load: float
     connections: int
 
@@ -72,14 +72,14 @@
 
 
 class RoundStep(NamedTuple):
-    """What a node has to do now, and when it has to look again."""
+    """The actions that a node has to execute now, and the time of its next check."""
 
     actions: list[Action]
     next_check_us: int
 
 
 def encode(rates: ConnectionRates, rows: Sequence[LoadRow]) -> Iterator[bytes]:
-    """Yield datagrams of at most `MAX_DATAGRAM_BYTES`: the sender's rates, then a row for each server."""
+    """Yield datagrams of at most `MAX_DATAGRAM_BYTES`: the sender's rates, then one row per server."""
     header = HEADER.pack(MAGIC, *(min(int(rate * RATE_STEPS), MAX_ENCODED_RATE) for rate in rates))
     for start in range(0, len(rows), ROWS_PER_DATAGRAM):
         packed_rows = [_pack_row(row) for row in rows[start : start + ROWS_PER_DATAGRAM]]
@@ -93,7 +93,7 @@
 
 
 def decode(data: bytes) -> LoadMessage | None:
-    """Return what a peer's datagram says, or None where it does not have this form."""
+    """Return the content of a peer's datagram, or None if it is malformed."""
     if len(data) < HEADER.size or data[0] != MAGIC or (len(data) - HEADER.size) % ROW.size:
         return None
     _, total, fresh = HEADER.unpack_from(data)
@@ -110,12 +110,12 @@
 
     def __init__(self) -> None:
         self._id_by_low_bits: dict[int, int] = {}
-        self._server_count = 0  # how many servers there were when the index was built
+        self._server_count = 0  # Number of servers when the index was built
 
     def match(self, rows: Iterable[LoadRow], known_servers: Collection[int]) -> Iterator[LoadRow]:
-        """Yield the rows with whole server ids; a row that two known servers share, or none has, is left out.
+        """Yield the rows with whole server ids; omit rows that match no server or several.
 
-        Servers may have been added to `known_servers` since the last call, and none removed.
+        Servers may have been added to `known_servers` since the last call, but none removed.
         """
         if len(known_servers) != self._server_count:
             self._build(known_servers)
@@ -134,7 +134,7 @@
 
 
 class LoadGossip:
-    """One node's view of the rounds."""
+    """One node's state of the gossip rounds."""
 
     def __init__(self, settings: Settings) -> None:
         self._own_number = settings.node_index
@@ -146,21 +146,21 @@
         )
         self._health_check_price = settings.prices.get("probe", 0)
         self._byte_price = settings.prices.get("peer", 0) / MAX_DATAGRAM_BYTES
-        #: In which all servers are asked, by one node after the other where they are many.
+        #: Period in which all servers are polled, by several nodes in turn if the fleet is large.
         self.round_interval_us = MAX_ROUND_INTERVAL_US
         self._turns_per_round = 1
-        # mean rates of one node, over the nodes whose rounds were recorded last
+        # Mean rates per node, over the senders of the last rounds
         self.mean_rate = 0.0
         self.mean_fresh_rate = 0.0
         self.rounds_recorded = 0
-        #: time of the last round; before the first round, time at which this node began
+        #: Time of the last round; before the first round, start time of this node
         self.last_round_at_us = 0
         self._last_sender = self._node_count - 1
-        self._own_round_started_at_us = 0  # 0 while no round of this node is under way
-        self.malformed = 0  #: datagrams received that do not have the form of a round
+        self._own_round_started_at_us = 0  # 0 while this node has no round in progress
+        self.malformed = 0  #: Number of malformed datagrams received
 
     def is_active(self, now_us: int) -> bool:
-        """Whether reports keep coming."""
+        """Whether reports from rounds are still arriving."""
         takeover_us = TAKEOVER_STEP_US * self._node_count
         return (
             self.enabled
@@ -169,16 +169,16 @@
         )
 
     def update_interval(self, server_count: int, own_rate: float) -> None:
-        """Set the round interval by what the tier's requests can pay for.
+        """Set the round interval to the shortest one whose cost the tier's requests cover.
 
-        `own_rate`: this node's new connections a second.
+        `own_rate`: this node's new connections per second.
         """
         datagram_bytes = HEADER.size * -(-server_count // ROWS_PER_DATAGRAM) + ROW.size * server_count
         round_cost = (
             server_count * self._health_check_price + self._node_count * datagram_bytes * self._byte_price
         )
-        # The first nodes that send may not have their clients yet; their mean alone would make the interval
-        # too long for the others.
+        # The first senders may not have their clients yet; their mean alone would make the interval too long
+        # for the other nodes.
         is_mean_settled = self.rounds_recorded >= MEAN_RATE_ROUNDS
         rate = self.mean_rate if is_mean_settled else max(self.mean_rate, own_rate)
         affordable_us = SECOND * round_cost / (MAX_COST_SHARE * self._node_count * rate)
@@ -187,14 +187,14 @@
         self.round_interval_us = int(max(min(affordable_us, MAX_ROUND_INTERVAL_US), min_interval_us))
 
     def next_turn_us(self) -> int:
-        """When this node has to ask its servers, unless another node's round comes before."""
+        """When this node has to poll its servers, unless another node's round arrives first."""
         turn_interval_us = self.round_interval_us // self._turns_per_round
         interval_us = turn_interval_us * (self.rounds_recorded > 0)
         distance = (self._own_number - self._last_sender - 1) % self._node_count
         return self.last_round_at_us + interval_us + TAKEOVER_STEP_US * distance
 
     def record_round(self, sender: int, rates: ConnectionRates, now_us: int) -> None:
-        """Record a round that a peer or this node has sent."""
+        """Record a round sent by a peer or by this node."""
         self.rounds_recorded += 1
         weight = 1 / min(self.rounds_recorded, MEAN_RATE_ROUNDS)
         self.mean_rate += (rates.total - self.mean_rate) * weight
@@ -206,14 +206,14 @@
     def run_round(
         self, ready: Sequence[Server], rates: ConnectionRates, needs_reports: bool, now_us: int
     ) -> RoundStep:
-        """Ask the servers when it is this node's turn; send their answers to all peers a moment later.
+        """Poll the servers when it is this node's turn; send the reports to all peers `REPORT_WAIT_US` later.
 
-        In a tier of dozens of nodes, each node sees too few requests to pay for the reports that it needs,
-        and all together would pay for the same reports many times.
+        In a tier of dozens of nodes, each node has too few requests to cover the cost of the reports that it
+        needs, and all nodes together would pay for the same reports many times.
 
-        `ready`: the servers that are ready; `rates`: this node's own; `needs_reports`: False for a node whose
-        own requests pay for all the reports that it needs. Of a fleet too large to be asked at once, each
-        node asks a segment of its own.
+        `ready`: the ready servers; `rates`: this node's rates; `needs_reports`: False for a node whose own
+        requests cover the cost of all reports that it needs. In a fleet too large to be polled at once, each
+        node polls only its own segment.
         """
         self.update_interval(len(ready), rates.total)
         turn_us = self.next_turn_us()
--- a/limerudder/policy/gossip_exchange.py
+++ b/limerudder/policy/gossip_exchange.py
@@ -1,4 +1,4 @@
-"""Runs this node's part of the gossip of load reports: rounds in its turn, and peers' datagrams."""
+"""Runs this node's part of the gossip of load reports: its own rounds, and the datagrams of peers."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
         self._server_index = ServerIdIndex()
 
     def start(self) -> None:
-        """Begin with the rounds."""
+        """Start the gossip rounds."""
         if self._gossip.enabled and self._poller.enabled:
             self._gossip.last_round_at_us = self._clock.now_us
             self.run_round()
 
     def run_round(self) -> None:
-        """Poll all servers in this node's turn, send their reports to the peers, and set the next timer."""
+        """Poll the servers in this node's turn, send their reports to the peers, and set the next timer."""
         now_us = self._clock.now_us
         rates = ConnectionRates(self._rates.usual_request_rate(), self._rates.fresh_rate())
         step = self._gossip.run_round(self._registry.ready, rates, self._poller.on_demand, now_us)
         self._actions.extend(step.actions)
-        # Connections that existed at the start reconnect after the first round, whose reports show servers
-        # that hold nothing: the turn is looked at once a second, however long the interval it gives.
+        # Connections that existed at the start reconnect after the first round, whose reports show idle
+        # servers: the turn is checked at least once a second, regardless of the computed interval.
         self._actions.append(SetTimer(min(step.next_check_us, now_us + SECOND), TimerToken.GOSSIP_ROUND))
 
     def receive(self, event: PeerMessage) -> Iterator[tuple[Server, float, float]]:
         """Yield the server, load and connections of each report in a peer's datagram.
 
-        The node's own datagrams may come back to it by a broadcast address and are ignored.
+        The node's own datagrams, which a broadcast address may return to it, are ignored.
         """
         if event.sender == self._node_index:
             return
--- a/limerudder/policy/load_polling.py
+++ b/limerudder/policy/load_polling.py
@@ -1,7 +1,7 @@
-"""Sends health checks for load reports, as often as this node's own requests pay for them.
+"""Polls servers for load reports by health checks, within a budget earned by this node's own requests.
 
-Either every server is swept at intervals, or (`on_demand`) only the servers that a request may join are
-polled just before it is placed.
+Either every server is swept at intervals, or (`on_demand`) only the candidate servers of a request are
+polled, just before the request is placed.
 """
 
 from __future__ import annotations
@@ -18,18 +18,17 @@
 from limerudder.policy.timers import TimerToken
 from limerudder.policy.traffic_rates import TrafficRates
 
-#: Share of the result that health checks may cost: what they tell must be worth more than that.
+#: Maximum share of the result spent on health checks; the reports must be worth more than that.
 HEALTH_CHECK_SPEND = 0.01
-MIN_HEALTH_CHECK_PRICE = 1e-5  #: keeps the budget finite where health checks cost nothing
-#: Reports are rarely renewed faster than that, and mislead if they are older.
-MIN_SWEEP_INTERVAL_US = SECOND // 2
-MAX_SWEEP_INTERVAL_US = 4 * SECOND
-REPORT_WAIT_US = SECOND // 20  #: how long a decision waits for reports: within any latency objective
-INITIAL_CREDIT = 8.0  #: health checks that a node may send before its first request
+MIN_HEALTH_CHECK_PRICE = 1e-5  #: Lower bound that keeps the budget finite where health checks are free
+MIN_SWEEP_INTERVAL_US = SECOND // 2  #: Servers rarely update their reports faster than this
+MAX_SWEEP_INTERVAL_US = 4 * SECOND  #: Reports older than this are misleading
+REPORT_WAIT_US = SECOND // 20  #: Maximum wait of a placement for reports, below any latency objective
+INITIAL_CREDIT = 8.0  #: Number of health checks that a node may send before its first request
 
 
 class LoadPoller:
-    """Decides when which servers are asked for a load report."""
+    """Decides which servers are polled for load reports, and when."""
 
     def __init__(
         self,
@@ -42,7 +41,7 @@
         settings = context.settings
         self.enabled = polls_load_reports(settings)
         self.on_demand = self.enabled
-        self.unanswered = 0  # health checks on demand since the last report
+        self.unanswered = 0  # On-demand health checks sent since the last report
         self._settings = settings
         self._clock = context.clock
         self._actions = context.actions
@@ -50,7 +49,7 @@
         self._loads = loads
         self._gossip = gossip
         self._rates = rates
-        #: Health checks that one request pays for, and those that are paid for and not sent.
+        #: Number of health checks that one request earns, and the number earned and not yet sent.
         self._credit_per_request = HEALTH_CHECK_SPEND / max(
             settings.prices.get("probe", 0), MIN_HEALTH_CHECK_PRICE
         )
@@ -59,12 +58,12 @@
         self._connections_field = connections_field(settings)
 
     def sweep(self) -> None:
-        """Poll every server if requests pay for it, update the load levels, and schedule the next sweep.
+        """Poll every server if the budget covers it, update the load levels, and schedule the next sweep.
 
-        Hundreds of nodes that sweep a large fleet spend more than reports are worth: a node whose own
-        requests do not pay for sweeps polls only the servers that it is about to choose from. Connections
-        that existed at the start pay too: a node with few new requests but many old connections would
-        otherwise never learn of overload. A fleet that is too large to be asked at once is not swept either.
+        Sweeps of a large fleet by hundreds of nodes cost more than the reports are worth: a node whose own
+        requests do not cover the cost polls only the candidate servers of each request. Connections that
+        existed at the start count as requests: otherwise a node with few new requests but many old
+        connections would never detect overload. A fleet too large to be polled at once is not swept either.
         """
         now_us = self._clock.now_us
         ready = self._registry.ready
@@ -84,7 +83,7 @@
         self._actions.append(SetTimer(now_us + self._next_sweep_in_us(gossips), TimerToken.LOAD_SWEEP))
 
     def poll(self, server: Server) -> bool:
-        """Poll a server of unknown load, if requests have paid for it; return whether it was polled."""
+        """Poll a server of unknown load if the budget allows it; return whether it was polled."""
         now_us = self._clock.now_us
         is_due = (
             self.enabled
@@ -100,7 +99,7 @@
         return True
 
     def earn_credit(self) -> None:
-        """A request has been placed: it pays for health checks."""
+        """Add the health checks that a placed request earns to the budget."""
         earned = self._credit_per_request
         self._credit = min(self._credit + earned, INITIAL_CREDIT + earned)
 
@@ -113,7 +112,7 @@
         return report[self._load_field], report[self._connections_field] if has_connections else 0
 
     def on_report(self, server: Server) -> None:
-        """A report of this server has come, by a health check or from a peer."""
+        """Handle a report of this server, received by a health check or from a peer."""
         server.health_check_sent_at_us = 0
         self.unanswered = 0
 
@@ -126,17 +125,17 @@
 
 
 def polls_load_reports(settings: Settings) -> bool:
-    """Whether servers report a load that health checks may ask for."""
+    """Whether servers report a load that health checks can retrieve."""
     return settings.allows_health_checks and settings.report_via != "none" and load_field(settings) >= 0
 
 
 def load_field(settings: Settings) -> int:
-    """Return the place of the load in a report, or -1."""
+    """Return the index of the load in a report, or -1."""
     fields = list(settings.report_fields)
     return next((fields.index(name) for name in ("x0", "util") if name in fields), -1)
 
 
 def connections_field(settings: Settings) -> int:
-    """Return the place of the server's number of connections in a report, or -1."""
+    """Return the index of the server's number of connections in a report, or -1."""
     fields = list(settings.report_fields)
     return fields.index("inflight") if "inflight" in fields else -1
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -1,6 +1,6 @@
-"""Migrates connections away from overloaded servers, the costliest for their priority first.
+"""Migrates connections away from overloaded servers, those with the most load for their priority first.
 
-Where a migrated client goes is decided when it reconnects, as for any other request.
+The next server of a migrated client is selected when it reconnects, as for any other request.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from limerudder.policy.reported_loads import COMFORTABLE_LOAD, ReportedLoads
 from limerudder.policy.traffic_rates import TrafficRates
 
-MAX_LOAD_BEFORE_RELIEF = 0.9  #: beyond its capacity a server answers nothing in time
-#: A report is as old as that at most: an earlier one may not show the last migrations.
+MAX_LOAD_BEFORE_RELIEF = 0.9  #: A server at more than its capacity answers nothing in time
+#: Maximum age of a report; until it has passed, reports may not show the last migrations.
 RELIEF_INTERVAL_US = 3 * SECOND // 2
 MIN_OVER_QUOTA_WEIGHT = 0.01
-GOSSIP_MIGRATION_BURST = 2.0  #: migrations at once, where all nodes migrate
+GOSSIP_MIGRATION_BURST = 2.0  #: Number of migrations allowed at once, where all nodes migrate
 
 
 class OverloadRelief:
@@ -51,11 +51,11 @@
         self._gossip_migrations = TokenBucket(GOSSIP_MIGRATION_BURST)
 
     def on_report(self, server: Server, load: float, load_with_backlog: float) -> None:
-        """A load report has come: migrate connections if the server is asked for too much.
+        """Handle a load report: migrate connections if the server is overloaded.
 
-        Where all nodes hear the same report, what each migrates adds up. A backlog is no share of what is
-        connected there, and before reports show what has left, all nodes would migrate for it again: so the
-        backlog is ignored then, and the next relief comes later.
+        With gossip all nodes receive the same report, and their migrations add up. A backlog is not a share
+        of the current connections, and all nodes would migrate for it again before reports show the first
+        migrations: so the backlog is ignored then, and the time until the next relief is longer.
         """
         now_us = self._clock.now_us
         gossips = self._gossip.is_active(now_us)
@@ -71,7 +71,7 @@
             self._relieve(server, excess_share, gossips)
 
     def on_message_latency(self, inferred_loads: InferredLoads, server: Server, latency_us: float) -> None:
-        """A message took this long: migrate what is too much, where loads are inferred."""
+        """Handle a message's latency: migrate the excess load, where loads are inferred."""
         excess_load = inferred_loads.record_message_latency(server, latency_us, self._clock.now_us)
         live = [c for c in server.connections.values() if c.live] if excess_load > 0 else []
         live.sort(key=lambda c: self._cost(c, inferred_loads.connection_load(c)), reverse=True)
@@ -79,18 +79,18 @@
             if excess_load <= 0:
                 break
             load = inferred_loads.connection_load(connection)
-            # A connection that asks for half a server by itself goes first: else all the others would be
-            # migrated in its stead.
+            # A connection that needs half a server by itself is always migrated: otherwise all the others
+            # would be migrated instead.
             if inferred_loads.is_costly(connection) or self._rng.random() * load < excess_load:
                 excess_load -= load
                 self._migrate(connection)
         inferred_loads.remember_own_load(server)
 
     def on_slow_message(self, server: Server) -> None:
-        """A message took too long at a server, in a tier whose nodes cannot pay for sweeps.
+        """Handle a slow message of a server, in a tier whose nodes cannot afford sweeps.
 
-        Only while most of this node's connections are at healthy servers: if all were slow, hundreds of
-        nodes would migrate all they hold.
+        Relieves the server only while most of this node's connections are at healthy servers: if all servers
+        were slow, hundreds of nodes would migrate all their connections.
         """
         healthy = [
             self._outliers.is_healthy(connection.server)
@@ -101,10 +101,11 @@
             self._relieve(server, 1 - COMFORTABLE_LOAD)
 
     def _relieve(self, server: Server, excess_share: float, gossips: bool = False) -> None:
-        """Migrate the costliest connections, up to this share of what this node's ask of the server.
+        """Migrate the costliest connections, up to this share of the load that this node adds to the server.
 
-        Past its capacity a server answers nothing in time, and what it holds stays for minutes. A report
-        may be seconds old: alone it justifies a migration only where it is beyond doubt, and not soon again.
+        Beyond its capacity a server answers nothing in time, and its connections stay for minutes. A report
+        may be seconds old: alone it justifies a migration only where the overload is certain, and no second
+        one soon after.
         """
         server.relieved_at_us = self._clock.now_us
         loads = [
@@ -125,20 +126,20 @@
             self._migrate(connection)
 
     def _stops_by_chance(self, excess_load: float, mean_load: float) -> bool:
-        """Whether to migrate no more, by chance and the likelier the smaller the excess that is left.
+        """Return whether to stop migrating: drawn at random, likelier the smaller the remaining excess.
 
-        If each of hundreds of nodes rounded up, all would migrate all they hold at once.
+        If each of hundreds of nodes rounded up, all would migrate all their connections at once.
         """
         probability = max(excess_load / mean_load, (excess_load > 0) / self._node_count)
         return self._rng.random() > probability
 
     def _acquire_gossip_migration(self) -> bool:
-        """Whether the store that connects share bears one more migration, where all nodes migrate."""
+        """Whether the store shared by all connects can bear one more migration, where all nodes migrate."""
         rate = PACED_RATE_FACTOR * self._rates.usual_fresh_rate(self._gossip)
         return self._gossip_migrations.try_acquire(self._clock.now_us, rate)
 
     def _cost(self, connection: Connection, load: float) -> float:
-        """Return a connection's load for its priority; tenants over their quota count more."""
+        """Return a connection's load relative to its priority; tenants over their quota count more."""
         quota_weight = self._over_quota_weight if self._load_shedding.exceeds_quota(connection) else 1
         return load / connection.traffic_class.priority_weight / quota_weight
 
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -1,6 +1,6 @@
-"""Migrates connections to where they are better placed: the local zone, or a server put back into service.
+"""Migrates connections to better places: the local zone, or a server returned to service.
 
-Where a migrated client goes is decided when it reconnects, as for any other request.
+The next server of a migrated client is selected when it reconnects, as for any other request.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from limerudder.policy.timers import TimerToken
 from limerudder.policy.traffic_rates import TrafficRates
 
-#: Migration to the local zone pays where a whole life across zones costs this many times a migration:
+#: Minimum price of a connection across zones, in migrations, for a migration to the local zone to pay off:
 #: the gap in a client's connection costs too.
 MIN_CROSSING_TO_MIGRATION_PRICE = 3
-SETTLED_AFTER_US = 5 * SECOND  #: after so long even a reconnected client may be migrated to the local zone
+SETTLED_AFTER_US = 5 * SECOND  #: Age at which a reconnected client may be migrated to the local zone
 MIN_MIGRATION_INTERVAL_US = SECOND // 2
 MAX_MIGRATION_INTERVAL_US = 10 * SECOND
-IDLE_INTERVAL_US = SECOND  #: until the next look, while no connection crosses zones
-MIN_MARGINAL_LOAD = 0.001  #: keeps the number of connections that fit finite
+IDLE_INTERVAL_US = SECOND  #: Time until the next check while no connection crosses zones
+MIN_MARGINAL_LOAD = 0.001  #: Lower bound that keeps the number of connections that fit finite
 
 
 class ReturnedServerRebalancer:
-    """Migrates connections for the sake of servers that operators have put back into service."""
+    """Migrates connections so that servers that operators have returned to service get clients."""
 
     def __init__(self, context: PolicyContext, registry: ServerRegistry) -> None:
         self._rng = context.rng
@@ -38,9 +38,9 @@
         self._registry = registry
 
     def migrate(self) -> None:
-        """Migrate a connection of the server with most, while a returned server is not used yet.
+        """Migrate a connection from the server with the most, while a returned server is not used yet.
 
-        Connections last for minutes: where few are new, a returned server would stand idle beside full ones.
+        Connections last for minutes: where few are new, a returned server would stay idle beside full ones.
         """
         now_us = self._clock.now_us
         registry = self._registry
@@ -61,9 +61,9 @@
 
 
 class LocalZoneRebalancer:
-    """Migrates connections that cross zones, where crossing is priced.
+    """Migrates connections that cross zones, where crossing has a price.
 
-    A crossing is paid for as long as the connection lasts, a migration once.
+    A crossing costs for as long as the connection lasts, a migration only once.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._selector = selector
 
     def migrate(self) -> None:
-        """Migrate one connection if a local server is known to have room, and schedule the next look."""
+        """Migrate one connection if a local server has spare capacity, and schedule the next check."""
         prices = self._settings.prices
         if prices.get("crossZone", 0) <= MIN_CROSSING_TO_MIGRATION_PRICE * prices.get("moves", 0):
             return
@@ -104,8 +104,8 @@
     def _migratable_connections(self) -> list[Connection]:
         """Return the connections in other zones.
 
-        Not while connects fail everywhere, nor without load data: filled by a guess, the servers of a zone
-        may be overloaded, and nothing would ever show it.
+        Returns none while connects fail everywhere, or without load data: filled by a guess, the servers of
+        a zone may be overloaded, and nothing would ever show it.
         """
         if self._pacer.interval_us or not self._loads.has_load_data:
             return []
@@ -121,12 +121,12 @@
         ]
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Whether a reconnected client may be migrated: one that found no room here would go to and fro."""
+        """Whether to migrate a client: if it found no capacity here, it would move back and forth."""
         settled_at_us = connection.established_at_us + SETTLED_AFTER_US
         return not connection.is_reconnect or self._clock.now_us >= settled_at_us
 
     def _migrate_one_of(self, remote: list[Connection]) -> int:
-        """Migrate one of these connections if there is room; return the time until the next look."""
+        """Migrate one of these connections if there is capacity; return the time until the next check."""
         interval_us = self._migration_interval_us()
         connection = self._rng.choice(remote)
         zone = self._settings.zone
@@ -148,10 +148,10 @@
         return interval_us
 
     def _migration_interval_us(self) -> int:
-        """Return the time between migrations, by the usual rate of requests.
+        """Return the time between migrations, derived from the usual rate of requests.
 
-        Migrated at once, all nodes' clients would meet at the store that connects share: it bears some times
-        the usual rate, and connections that break by themselves need room there too.
+        Migrated at once, all nodes' clients would overload the store shared by all connects: it bears a few
+        times the usual rate, and connections that break by themselves need capacity there too.
         """
         interval_us = int(SECOND / (PACED_RATE_FACTOR * self._rates.usual_request_rate()))
         return min(max(interval_us, MIN_MIGRATION_INTERVAL_US), MAX_MIGRATION_INTERVAL_US)
@@ -159,16 +159,16 @@
     def _max_load(self, connection: Connection) -> float:
         """Return the load up to which local servers are filled.
 
-        That of the fleet, or of the connection's own server: filled beyond it, the servers of a zone with
-        many clients had no room for a burst.
+        This is the load of the fleet or of the connection's own server: filled beyond it, the servers of a
+        zone with many clients have no capacity for a load spike.
         """
         current_load = self._estimate(connection.server) if connection.server else None
         return min(COMFORTABLE_LOAD, max(self._loads.mean_reported_load, current_load or 0))
 
     def _migration_probability(self, servers: list[Server], level: float, interval_us: int) -> float:
-        """Return this node's part of the room at these servers.
+        """Return the probability of a migration, by this node's share of these servers' spare capacity.
 
-        Until reports show whom the other nodes have migrated, each of them would fill the same room.
+        Until reports show the migrations of the other nodes, each node would fill the same capacity.
         """
         now_us = self._clock.now_us
         room = sum(
--- a/limerudder/policy/sweep_segments.py
+++ b/limerudder/policy/sweep_segments.py
@@ -1,8 +1,9 @@
-"""How many servers one node asks for a load report at a time, and which of a large fleet are its own to ask.
+"""Limits the number of servers that one node polls for load reports at a time, by dividing large fleets.
 
-What a node needs may not grow with the fleet: each server asked takes a descriptor, a connection and work
-at once. A fleet beyond `MAX_SWEPT_SERVERS` is cut into segments of about that size by the servers' ids, which
-are the same at all nodes; a node always asks the same segment, so that its connections last.
+The resources that a node needs must not grow with the fleet: each polled server takes a descriptor, a
+connection and work at the same time. A fleet of more than `MAX_SWEPT_SERVERS` is divided into segments of
+about that size by the servers' ids, which are the same at all nodes. A node always polls the same segment, so
+that its connections last.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 
 
 def segment_count(server_count: int) -> int:
-    """Return into how many segments a fleet of so many servers is cut: 1 for one that is not."""
+    """Return the number of segments of a fleet of this size; 1 if it is not divided."""
     return max(-(-server_count // MAX_SWEPT_SERVERS), 1)
 
 
 def own_segment(ready: Sequence[Server], node_index: int) -> Sequence[Server]:
-    """Return the servers of the segment that this node asks."""
+    """Return the servers of the segment that this node polls."""
     segments = segment_count(len(ready))
     if segments == 1:
         return ready
--- a/tests/test_discovery_timing.py
+++ b/tests/test_discovery_timing.py
@@ -1,8 +1,8 @@
-"""Deadlines of discovery calls: whatever became of earlier calls, a change arrives once discovery answers.
+"""Tests of discovery deadlines: a change arrives once discovery answers, however earlier calls failed.
 
-A real node on a simulated clock calls a scripted discovery whose calls fail as Hypothesis draws it, until one
-moment from which each new call is answered. From then on the operators allow 6 s, which includes a call that
-is out and dead, the wait that its failure caused and the answer's own time.
+A real node on a simulated clock calls a scripted discovery, whose calls fail as drawn by Hypothesis until a
+point in time from which each new call is answered. From then on the operators allow 6 s, which includes an
+open dead call, the wait after its failure and the time of the answer itself.
 """
 
 from __future__ import annotations
@@ -40,22 +40,22 @@
 LAST_CHUNK = b"0\r\n\r\n"
 STEP_US = 100_000
 EMPTY_LINE_INTERVAL_US = 2 * SECOND
-LATE_ANSWER_US = 3 * SECOND // 2  #: until an answer from a service that has many callers
+LATE_ANSWER_US = 3 * SECOND // 2  #: Delay of the answer of a service with many callers
 
 
 class Fate(Enum):
-    """What becomes of one call to discovery."""
+    """Scripted outcome of one call to discovery."""
 
-    REFUSED = "the connection is reset as it comes up"
-    UNREACHED = "the connection never comes up"
-    SILENT = "the connection comes up, and nothing follows"
+    REFUSED = "the connection is reset when it is established"
+    UNREACHED = "the connection is never established"
+    SILENT = "the connection is established, and no data follows"
     FAILED = "status 503"
     CUT = "ends within its first list"
     RESET = "reset after its first list"
-    ENDLESS = "a list that begins and never ends, with empty lines as if the call lived"
-    WITHOUT_LIST = "empty lines, and no list"
-    MALFORMED = "something that is no list"
-    STOPS = "its first list, and nothing from then on"
+    ENDLESS = "a list that starts and never ends, with empty lines as on a live call"
+    WITHOUT_LIST = "empty lines, but no list"
+    MALFORMED = "a malformed list"
+    STOPS = "its first list, then nothing"
     LATE = "its first list after LATE_ANSWER_US, then nothing"
     GOOD = "its first list, changes and empty lines"
     LATE_THEN_GOOD = "as GOOD, after LATE_ANSWER_US"
@@ -67,7 +67,7 @@
 
 
 class ScriptedCall(NamedTuple):
-    """A call's fate, and when it began."""
+    """The scripted outcome of a call, and its start time."""
 
     fate: Fate
     began_at_us: int
@@ -78,13 +78,13 @@
 
 
 class ScriptedDiscovery:
-    """Answers a node's calls, each by its fate; from `drain` on it answers every new call."""
+    """Answers a node's calls as scripted; after `drain` it answers every new call."""
 
     def __init__(self, testbed: NodeTestbed, fates: list[Fate]) -> None:
         self.testbed = testbed
         self.fates = iter(fates)
         self.drained = False
-        self.calls: dict[int, ScriptedCall] = {}  # by number of the dial
+        self.calls: dict[int, ScriptedCall] = {}  # Key: index of the dial
         self.answered: set[int] = set()
 
     def step(self) -> None:
@@ -98,7 +98,7 @@
     def _next_fate(self) -> Fate:
         if not self.drained:
             return next(self.fates, Fate.SILENT)
-        # an agent on the same machine answers at once, a service with many callers late
+        # An agent on the same machine answers at once, a service with many callers late.
         is_agent = self.testbed.node.settings.discovery == "pushed"
         return Fate.GOOD if is_agent else Fate.LATE_THEN_GOOD
 
@@ -137,13 +137,13 @@
             call.connection_lost(now_us)
 
     def _list(self) -> bytes:
-        """The endpoint list; version 42 has the host that drains."""
+        """Return the endpoint list; in version 42 the host is draining."""
         lifecycle = "leaving" if self.drained else "active"
         endpoints = hosts(host("s-1", lifecycle=lifecycle)) | {"generation": 41 + self.drained}
         return chunk(json.dumps(endpoints).encode() + b"\n")
 
     def drain(self) -> None:
-        """Drain the host, send the change on the watches that live, and answer every new call from now on."""
+        """Drain the host, send the change on live watches, and answer every new call from now on."""
         self.drained = True
         for number, (fate, _) in self.calls.items():
             transport = self.testbed.dials[number]
@@ -155,9 +155,9 @@
 def time_until_drain_is_known(
     folder: Path, discovery: str, fates: list[Fate], steps_before: int, moves: list[int]
 ) -> int:
-    """How long after the drain the node's policy knew of it, in microseconds.
+    """Return the time from the drain until the node's policy has applied it, in microseconds.
 
-    The node runs for `steps_before` steps first; at each step in `moves`, discovery's address changes.
+    The node runs for `steps_before` steps first; at each step in `moves`, the address of discovery changes.
     """
     simulated = node_testbed(folder, settings={**settings(), "discovery": discovery})
     node = simulated.node
@@ -170,11 +170,11 @@
     drained_at_us = simulated.now
     service.drain()
     while node.upstreams.get_or_create("s-1").state == ServerState.READY:
-        assert simulated.now - drained_at_us < 60 * SECOND, "the node never knew"
+        assert simulated.now - drained_at_us < 60 * SECOND, "the drain was never applied"
         service.step()
         simulated.run(STEP_US)
     server = node.balancer.registry.servers[node.upstreams.by_name["s-1"].number]  # type: ignore[attr-defined]
-    assert server.state == ServerState.DRAINING, "the policy knows it too"
+    assert server.state == ServerState.DRAINING, "the policy has not applied the drain"
     return simulated.now - drained_at_us
 
 
@@ -201,18 +201,18 @@
     assert delay_us <= NOTIFY_DEADLINE_US, f"known after {delay_us / SECOND:.2f} s"
 
 
-def test_the_longest_way_to_an_answer_is_shorter_than_the_deadline() -> None:
+def test_the_worst_case_time_to_an_answer_is_shorter_than_the_deadline() -> None:
     assert CALL_TIMEOUT_US + CHECK_INTERVAL_US + MAX_BACKOFF_US + FIRST_BYTE_TIMEOUT_US < NOTIFY_DEADLINE_US
     assert IDLE_TIMEOUT_US > 2 * SECOND, "an empty line is due every 2 s"
 
 
 @pytest.mark.parametrize("poll_interval_us", [0, SECOND, 10 * SECOND])
-def test_waits_grow_and_stay_bounded_and_start_over_after_a_success(poll_interval_us: int) -> None:
+def test_backoff_grows_within_its_bound_and_resets_after_a_success(poll_interval_us: int) -> None:
     backoff = Backoff(poll_interval_us)
     rng = Random(7)
     waits = [backoff.record_failure(rng) for _ in range(200)]
     assert min(waits) > 0 and max(waits) <= min(MAX_BACKOFF_US, max(poll_interval_us // 2, CHECK_INTERVAL_US))
-    assert len(set(waits)) > 150, "nodes that fail together do not call together"
+    assert len(set(waits)) > 150, "waits are not spread: nodes that fail together would call together"
     backoffs = [Backoff(10 * SECOND) for _ in range(400)]
     first_waits = [backoff.record_failure(rng) for backoff in backoffs]
     later_waits = [backoff.record_failure(rng) for backoff in backoffs]
@@ -224,7 +224,7 @@
 
 
 class ReceivedBytes(NamedTuple):
-    """Bytes that have come on a call, as `CallDeadline.record_bytes` takes them."""
+    """Bytes received on a call, as passed to `CallDeadline.record_bytes`."""
 
     at_us: int
     lists_completed: int
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_call_expires_where_nothing_on_it_would_come_in_time(pushed: bool) -> None:
+def test_a_call_expires_if_no_answer_on_it_could_arrive_in_time(pushed: bool) -> None:
     def call(*received: ReceivedBytes) -> CallDeadline:
         deadline = CallDeadline(pushed, 0)
         for at_us, lists_completed, has_partial_list in received:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Load gossip in a tier of nodes: which node polls the servers, which are informed, which takes over."""
+"""Tests of load gossip in a tier: which node polls the servers, which get reports, which takes over."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from tests.policy_tier import NODE_COUNT, SERVERS, TIER_SETTINGS, Tier
 
 
-def test_one_node_a_round_polls_and_all_are_informed() -> None:
-    """Without gossip 40 nodes polled 520 times in 25 s, and knew the loads of two servers of twelve."""
+def test_one_node_polls_per_round_and_all_nodes_get_the_reports() -> None:
+    """Without gossip 40 nodes polled 520 times in 25 s and had the loads of two servers of twelve."""
     tier = Tier()
     tier.run(20 * SECOND)
     assert tier.informed_nodes() == NODE_COUNT
@@ -52,7 +52,7 @@
     assert min(health_checks) >= len(SERVERS)
 
 
-def test_a_restarted_node_is_informed_by_the_next_round() -> None:
+def test_a_restarted_node_gets_the_reports_of_the_next_round() -> None:
     tier = Tier()
     tier.run(10 * SECOND)
     restarted = tier.restart_node(3, seed=99)
@@ -69,7 +69,7 @@
     assert not any(timer.token == TimerToken.GOSSIP_ROUND for timer in timers)
 
 
-def test_a_decoded_message_holds_what_was_encoded() -> None:
+def test_decoding_returns_what_was_encoded() -> None:
     rows = [LoadRow(0x12345678, 0.5, 12), LoadRow(0x0000FFFF, 9.0, 4000)]
     (data,) = encode(ConnectionRates(1.25, 0.5), rows)
     message = decode(data)
@@ -82,7 +82,7 @@
     ), "two servers share the row's low bits"
 
 
-def test_a_large_fleet_takes_several_datagrams() -> None:
+def test_a_large_fleet_needs_several_datagrams() -> None:
     rows = [LoadRow(server_id, 0.25, 1) for server_id in range(2 * ROWS_PER_DATAGRAM + 1)]
     messages = [decode(data) for data in encode(ConnectionRates(0.0, 0.0), rows)]
     row_counts = [len(message.rows) for message in messages if message]
@@ -103,7 +103,7 @@
     assert not driver.balancer.gossip.rounds_recorded
 
 
-def test_rounds_are_as_frequent_as_requests_pay_for() -> None:
+def test_the_round_interval_follows_from_the_request_rate() -> None:
     quiet = LoadGossip(TIER_SETTINGS)
     busy = LoadGossip(TIER_SETTINGS)
     quiet.update_interval(60, 0.2)
@@ -114,8 +114,8 @@
     assert quiet.round_interval_us == MAX_ROUND_INTERVAL_US
 
 
-def test_a_reported_load_of_zero_with_a_backlog_migrates_nobody() -> None:
-    """A report of 0.0 while a backlog was left led to a division by zero."""
+def test_a_reported_load_of_zero_with_a_backlog_migrates_no_client() -> None:
+    """Regression: a report of 0.0 with a remaining backlog led to a division by zero."""
     driver = Driver(TIER_SETTINGS, servers=SERVERS)
     driver.add_connection(1)
     for load in (3.0, 0.0):
@@ -125,7 +125,7 @@
 
 
 def count_migrations(tier: Tier, load: float) -> int:
-    """Return how many connections all nodes together migrate in 20 s off servers that report this load."""
+    """Return the number of connections that all nodes migrate in 20 s from servers that report this load."""
     for node in tier.nodes:
         connections = [node.add_connection(1 + index % len(SERVERS)) for index in range(11)]
         for request_id in connections:
@@ -136,16 +136,16 @@
     return sum(len(node.actions_of_type(MigrateClient)) for node in tier.nodes)
 
 
-def test_a_report_that_reaches_all_nodes_at_once_starts_no_wave_of_migrations() -> None:
-    """60 nodes relieved the same servers once more before reports showed the first migrations."""
+def test_a_report_that_reaches_all_nodes_at_once_causes_no_wave_of_migrations() -> None:
+    """Regression: 60 nodes relieved the same servers again before reports showed the first migrations."""
     migrations = count_migrations(Tier(), 1.2)
-    # 240 connections; each node migrates two at once, then no more than the store of set-ups bears
+    # 240 connections; each node migrates two at once, then no more than the store of set-ups allows
     assert 0 < migrations <= NODE_COUNT * 4
     assert count_migrations(Tier(), 0.8) == 0
 
 
 def test_the_second_round_does_not_wait_for_the_interval_that_the_first_computed() -> None:
-    """Connections added after the first round: for 8 s all servers were taken for idle."""
+    """Regression: when connections were added after the first round, servers were assumed idle for 8 s."""
     tier = Tier()
     tier.run(SECOND // 2)
     tier.add_connections(5)
@@ -153,8 +153,8 @@
     assert tier.datagrams >= 3
 
 
-def test_rounds_become_more_frequent_as_soon_as_connections_pay_for_them() -> None:
-    """Each node checks every second whose turn it is, not only when the previous interval has passed."""
+def test_rounds_become_more_frequent_as_soon_as_connections_cover_their_cost() -> None:
+    """Each node checks every second whose turn it is, not only after the previous interval."""
     tier = Tier()
     tier.run(2 * SECOND + SECOND // 4)  # each node has checked once
     datagrams_before = tier.datagrams
--- a/tests/test_load_polling.py
+++ b/tests/test_load_polling.py
@@ -1,4 +1,4 @@
-"""Tests of health checks for load reports: what they cost, and what a missing answer means."""
+"""Tests of health checks for load reports: their cost, and the meaning of a missing answer."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 PRICED_HEALTH_CHECKS = replace(BASE_SETTINGS, prices={"probe": 0.002})
 
 
-def test_health_checks_without_any_answer_reject_nobody() -> None:
-    """No answer from one server is a sign of overload; none from any means that health checks fail."""
+def test_no_request_is_rejected_if_no_health_check_is_answered() -> None:
+    """No answer from one server indicates overload; no answer from any, that health checks fail."""
     driver = Driver(BASE_SETTINGS, servers=server_entries(30))
     requests = []
     for _ in range(10):
@@ -24,8 +24,8 @@
     assert all(request_id in driver.attempts for request_id in requests[5:])
 
 
-def test_a_server_that_has_not_reported_is_not_taken_for_idle() -> None:
-    """A quarter of all connections went to overloaded servers that had not answered yet."""
+def test_a_server_without_a_report_is_not_assumed_to_be_idle() -> None:
+    """Regression: a quarter of all connections went to overloaded servers that had not answered yet."""
     driver = Driver(BASE_SETTINGS, servers=server_entries(2))
     request_id = driver.request()
     polled = [health_check.server_id for health_check in driver.actions_of_type(CheckHealth)]
@@ -37,7 +37,7 @@
 
 
 def test_a_node_with_few_requests_polls_only_the_servers_it_may_choose() -> None:
-    """Incident iad2208: 1,667 nodes swept 196 servers each, five million health checks in eight seconds."""
+    """Incident iad2208: 1,667 nodes swept 196 servers each: five million health checks in eight seconds."""
     driver = Driver(replace(PRICED_HEALTH_CHECKS, node_count=600), servers=server_entries(100))
     for _ in range(20):
         driver.run(5 * SECOND)
@@ -49,7 +49,7 @@
     assert 0 < len(driver.actions_of_type(CheckHealth)) <= 20 * 5 + 8
 
 
-def test_existing_connections_pay_for_sweeps() -> None:
+def test_existing_connections_count_as_requests_in_the_sweep_budget() -> None:
     driver = Driver(BASE_SETTINGS, servers=server_entries(5))
     driver.run(SECOND)
     assert not driver.actions_of_type(CheckHealth)
@@ -59,8 +59,8 @@
     assert driver.actions_of_type(CheckHealth)
 
 
-def test_sweeps_start_as_soon_as_requests_pay_for_them() -> None:
-    """A node that starts without state gets its clients at once; it must not wait for a whole sweep."""
+def test_sweeps_start_as_soon_as_requests_cover_their_cost() -> None:
+    """A node that starts without state gets its clients at once and must not wait for a whole interval."""
     driver = Driver(PRICED_HEALTH_CHECKS, servers=server_entries(10))
     for group in range(10):
         driver.request(group=group)
@@ -70,5 +70,5 @@
     for server_id in range(1, 11):
         driver.report_load(server_id, 0.5)
     health_checks_before = len(driver.actions_of_type(CheckHealth))
-    driver.run(2 * SECOND)  # their price limits the rate of sweeps
+    driver.run(2 * SECOND)  # the price of health checks limits the sweep rate
     assert len(driver.actions_of_type(CheckHealth)) - health_checks_before <= 30
--- a/tests/test_overload_relief.py
+++ b/tests/test_overload_relief.py
@@ -13,7 +13,7 @@
 
 
 def test_relief_by_many_nodes_migrates_the_excess_share() -> None:
-    """Where each of 500 nodes holds one connection, rounding up would migrate all of them at once."""
+    """With one connection at each of 500 nodes, rounding up would migrate all of them at once."""
     migrations = 0
     for seed in range(200):
         driver = Driver(replace(BASE_SETTINGS, node_count=500), seed, server_entries(6))
@@ -24,7 +24,7 @@
         driver.deliver(LoadSample(request_id, 1, 1000.0, 0))
         driver.deliver(LatencySample(request_id, 1, 2000.0, 0))
         migrations += len(driver.actions_of_type(MigrateClient))
-    assert 30 < migrations < 95  # three tenths of 200
+    assert 30 < migrations < 95  # about three tenths of 200
 
 
 def test_relief_migrates_the_costliest_connections_once_for_the_same_overload() -> None:
@@ -48,8 +48,8 @@
     assert (0 < len(driver.actions_of_type(MigrateClient)) < 10) is relieved
 
 
-def test_a_server_with_a_backlog_is_relieved_and_avoided_until_it_has_worked_it_off() -> None:
-    """Two servers whose capacity had fallen stood at 0.97 with a backlog of seconds."""
+def test_a_server_with_a_backlog_is_relieved_and_avoided_until_the_backlog_is_cleared() -> None:
+    """Regression: two servers with reduced capacity stayed at 0.97 with a backlog of seconds."""
     driver, _ = driver_with_loaded_server()
     server = driver.balancer.registry.servers[1]
     for load, migrates in ((1.5, True), (1.5, False), (0.8, True), (0.8, False)):
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -23,10 +23,10 @@
     [(TWO_ZONES, 0.2, 4), (TWO_ZONES, 0.8, 0), (COSTLY_MIGRATIONS, 0.2, 0)],
     ids=["local capacity", "no local capacity", "costly migrations"],
 )
-def test_connections_are_migrated_to_the_local_zone_where_that_has_capacity_and_pays(
+def test_connections_are_migrated_to_the_local_zone_if_it_has_capacity_and_migration_pays_off(
     settings: Settings, local_load: float, migrations: int
 ) -> None:
-    """Four connections stood in another zone at first, which cost 0.067 to 0.096 of the fleet's result."""
+    """Four connections that started in another zone cost 0.067 to 0.096 of the fleet's result."""
     driver = Driver(settings, servers=SERVERS)
     for _ in range(4):
         driver.add_connection(REMOTE_SERVER)
@@ -61,7 +61,7 @@
 def test_the_local_zone_is_filled_no_further_than_the_fleet_or_the_current_server(
     local_load: float, remote_load: float, migrates: bool
 ) -> None:
-    """Local servers at 0.7 had no capacity for a burst: 289 resets, 393 attempts timed out."""
+    """Regression: local servers at 0.7 had no capacity for a load spike: 289 resets, 393 time-outs."""
     driver = Driver(TWO_ZONES, servers=SERVERS)
     for _ in range(10):
         driver.add_connection(REMOTE_SERVER)
--- a/tests/test_sweep_segments.py
+++ b/tests/test_sweep_segments.py
@@ -1,4 +1,4 @@
-"""Fleets too large for one node to ask every server for its load."""
+"""Tests of fleets too large for one node to poll every server."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("server_count", [1, 128, 129, 3200, 20_000])
-def test_the_segments_of_all_nodes_are_the_whole_fleet(server_count: int) -> None:
+def test_the_segments_of_all_nodes_cover_the_whole_fleet(server_count: int) -> None:
     ready = [Server(server_id * 7919) for server_id in range(server_count)]
     segments = [own_segment(ready, index) for index in range(segment_count(server_count))]
     assert sorted(server.id for segment in segments for server in segment) == [s.id for s in ready]
@@ -29,10 +29,10 @@
     ("node_count", "turn_interval_us"),
     [(8, MIN_ROUND_INTERVAL_US // 8), (200, TAKEOVER_STEP_US)],
 )
-def test_nodes_take_turns_such_that_a_round_of_a_large_fleet_takes_no_longer_than_it_must(
+def test_nodes_poll_a_large_fleet_in_turn_at_the_shortest_allowed_interval(
     node_count: int, turn_interval_us: int
 ) -> None:
-    """Guards against report 47952f: the node whose turn it was dialled all of 3,200 servers at once."""
+    """Regression, report 47952f: the node whose turn it was dialled all 3,200 servers at once."""
     ready = [Server(server_id) for server_id in range(3200)]
     gossip = LoadGossip(replace(TIER_SETTINGS, node_count=node_count, node_index=1, prices={}))
     gossip.record_round(0, BUSY, SECOND)
@@ -44,7 +44,7 @@
     assert checked == [server_id for server_id in range(3200) if server_id % 25 == 1]
 
 
-def test_a_large_fleet_is_asked_on_demand_even_where_health_checks_cost_nothing() -> None:
+def test_a_large_fleet_is_polled_on_demand_even_if_health_checks_are_free() -> None:
     driver = Driver(replace(BASE_SETTINGS, prices={}), servers=server_entries(3200))
     driver.run(2 * SECOND)
     assert not driver.actions_of_type(CheckHealth)
