--- a/limerudder/policy/discovery_polling.py
+++ b/limerudder/policy/discovery_polling.py
@@ -8,7 +8,7 @@
 from limerudder.policy.timers import TimerToken
 
 #: Fraction of the poll interval until the next renewal, drawn anew each time so that nodes spread out.
-RENEWAL_SHARE = (0.7, 0.9)
+RENEWAL_FRACTIONS = (0.7, 0.9)
 
 
 class DiscoveryPoller:
@@ -38,7 +38,7 @@
     def on_update(self) -> None:
         """Handle an answer of discovery: schedule the renewal."""
         self._backoff.record_success()
-        self._schedule(int(self._poll_interval_us * self._rng.uniform(*RENEWAL_SHARE)))
+        self._schedule(int(self._poll_interval_us * self._rng.uniform(*RENEWAL_FRACTIONS)))
 
     def on_failure(self) -> None:
         """Handle a failed call to discovery: schedule a retry."""
--- a/limerudder/policy/discovery_timing.py
+++ b/limerudder/policy/discovery_timing.py
@@ -94,6 +94,6 @@
     def record_failure(self, rng: Random) -> int:
         """Record a failed call; return a random wait until the next, so that nodes spread their calls."""
         doublings = min(self._failures, MAX_DOUBLINGS)
-        longest_us = min(FIRST_BACKOFF_US << doublings, self._max_wait_us)
+        longest_wait_us = min(FIRST_BACKOFF_US << doublings, self._max_wait_us)
         self._failures += 1
-        return int(longest_us * rng.uniform(MIN_BACKOFF_FRACTION, 1))
+        return int(longest_wait_us * rng.uniform(MIN_BACKOFF_FRACTION, 1))
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -26,7 +26,7 @@
 from limerudder.policy.sweep_segments import own_segment, segment_count
 
 MAX_COST_SHARE = 0.02  #: Maximum share of the result that shared reports may cost
-MAX_INDEPENDENT_NODES = 6  #: Tier size up to which each node sees enough of every server by itself
+MAX_NODES_WITHOUT_GOSSIP = 6  #: Tier size up to which each node sees enough of every server by itself
 #: Delay between the take-overs of successive nodes: a round of health checks and a late datagram.
 TAKEOVER_STEP_US = SECOND // 10
 MIN_ROUND_INTERVAL_US = SECOND
@@ -112,22 +112,22 @@
         self._id_by_low_bits: dict[int, int] = {}
         self._server_count = 0  # Number of servers when the index was built
 
-    def match(self, rows: Iterable[LoadRow], known_servers: Collection[int]) -> Iterator[LoadRow]:
+    def match(self, rows: Iterable[LoadRow], server_ids: Collection[int]) -> Iterator[LoadRow]:
         """Yield the rows with whole server ids; omit rows that match no server or several.
 
-        Servers may have been added to `known_servers` since the last call, but none removed.
+        Servers may have been added to `server_ids` since the last call, but none removed.
         """
-        if len(known_servers) != self._server_count:
-            self._build(known_servers)
+        if len(server_ids) != self._server_count:
+            self._build(server_ids)
         for low_bits, load, connections in rows:
             server = self._id_by_low_bits.get(low_bits, _AMBIGUOUS)
             if server >= 0:
                 yield LoadRow(server, load, connections)
 
-    def _build(self, known_servers: Collection[int]) -> None:
-        self._server_count = len(known_servers)
+    def _build(self, server_ids: Collection[int]) -> None:
+        self._server_count = len(server_ids)
         id_by_low_bits: dict[int, int] = {}
-        for server in known_servers:
+        for server in server_ids:
             low_bits = server & SERVER_ID_MASK
             id_by_low_bits[low_bits] = _AMBIGUOUS if low_bits in id_by_low_bits else server
         self._id_by_low_bits = id_by_low_bits
@@ -137,12 +137,12 @@
     """One node's state of the gossip rounds."""
 
     def __init__(self, settings: Settings) -> None:
-        self._own_number = settings.node_index
+        self._node_index = settings.node_index
         self._node_count = max(settings.node_count, 1)
         self.enabled = (
             settings.allows_peer_messages
             and settings.allows_health_checks
-            and self._node_count > MAX_INDEPENDENT_NODES
+            and self._node_count > MAX_NODES_WITHOUT_GOSSIP
         )
         self._health_check_price = settings.prices.get("probe", 0)
         self._byte_price = settings.prices.get("peer", 0) / MAX_DATAGRAM_BYTES
@@ -190,7 +190,7 @@
         """When this node has to poll its servers, unless another node's round arrives first."""
         turn_interval_us = self.round_interval_us // self._turns_per_round
         interval_us = turn_interval_us * (self.rounds_recorded > 0)
-        distance = (self._own_number - self._last_sender - 1) % self._node_count
+        distance = (self._node_index - self._last_sender - 1) % self._node_count
         return self.last_round_at_us + interval_us + TAKEOVER_STEP_US * distance
 
     def record_round(self, sender: int, rates: ConnectionRates, now_us: int) -> None:
@@ -223,7 +223,7 @@
             return self._send_reports(ready, rates, now_us)
         if now_us >= turn_us:
             self._own_round_started_at_us = now_us
-            checks: list[Action] = [CheckHealth(server.id) for server in own_segment(ready, self._own_number)]
+            checks: list[Action] = [CheckHealth(server.id) for server in own_segment(ready, self._node_index)]
             return RoundStep(checks, now_us + REPORT_WAIT_US)
         return RoundStep([], turn_us)
 
@@ -234,5 +234,5 @@
             if server.load_report_at_us >= self._own_round_started_at_us
         ]
         messages: list[Action] = [SendPeerMessage(ALL_PEERS, data) for data in encode(rates, rows)]
-        self.record_round(self._own_number, rates, now_us)
+        self.record_round(self._node_index, rates, now_us)
         return RoundStep(messages, self.next_turn_us())
--- a/limerudder/policy/load_polling.py
+++ b/limerudder/policy/load_polling.py
@@ -19,7 +19,7 @@
 from limerudder.policy.traffic_rates import TrafficRates
 
 #: Maximum share of the result spent on health checks; the reports must be worth more than that.
-HEALTH_CHECK_SPEND = 0.01
+MAX_HEALTH_CHECK_COST_SHARE = 0.01
 MIN_HEALTH_CHECK_PRICE = 1e-5  #: Lower bound that keeps the budget finite where health checks are free
 MIN_SWEEP_INTERVAL_US = SECOND // 2  #: Servers rarely update their reports faster than this
 MAX_SWEEP_INTERVAL_US = 4 * SECOND  #: Reports older than this are misleading
@@ -50,12 +50,12 @@
         self._gossip = gossip
         self._rates = rates
         #: Number of health checks that one request earns, and the number earned and not yet sent.
-        self._credit_per_request = HEALTH_CHECK_SPEND / max(
+        self._credit_per_request = MAX_HEALTH_CHECK_COST_SHARE / max(
             settings.prices.get("probe", 0), MIN_HEALTH_CHECK_PRICE
         )
         self._credit = INITIAL_CREDIT
-        self._load_field = load_field(settings)
-        self._connections_field = connections_field(settings)
+        self._load_field_index = load_field_index(settings)
+        self._connections_field_index = connections_field_index(settings)
 
     def sweep(self) -> None:
         """Poll every server if the budget covers it, update the load levels, and schedule the next sweep.
@@ -68,19 +68,19 @@
         now_us = self._clock.now_us
         ready = self._registry.ready
         paid_interval_us = SECOND * len(ready) / (self._credit_per_request * self._rates.usual_request_rate())
-        gossips = self._gossip.is_active(now_us)
+        gossip_active = self._gossip.is_active(now_us)
         is_too_large = segment_count(len(ready)) > 1
-        self.on_demand = paid_interval_us > MAX_SWEEP_INTERVAL_US or is_too_large or gossips
+        self.on_demand = paid_interval_us > MAX_SWEEP_INTERVAL_US or is_too_large or gossip_active
         if not self.on_demand:
             self._loads.report_interval_us = int(max(paid_interval_us, MIN_SWEEP_INTERVAL_US))
             self._actions.extend(CheckHealth(server.id) for server in ready)
-        elif gossips:
+        elif gossip_active:
             self._loads.report_interval_us = self._gossip.round_interval_us // 2
         else:
             self._loads.report_interval_us = MIN_SWEEP_INTERVAL_US
         self._registry.update_slow_start()
         self._loads.update_levels(self._settings.node_count, self.on_demand, now_us)
-        self._actions.append(SetTimer(now_us + self._next_sweep_in_us(gossips), TimerToken.LOAD_SWEEP))
+        self._actions.append(SetTimer(now_us + self._next_sweep_in_us(gossip_active), TimerToken.LOAD_SWEEP))
 
     def poll(self, server: Server) -> bool:
         """Poll a server of unknown load if the budget allows it; return whether it was polled."""
@@ -106,36 +106,36 @@
     def read_report(self, event: HealthCheckResult) -> tuple[float, float] | None:
         """Return the load and the number of connections that a server reports, or None."""
         report = event.load_report
-        if event.outcome != AttemptOutcome.OK or len(report) <= self._load_field:
+        if event.outcome != AttemptOutcome.OK or len(report) <= self._load_field_index:
             return None
-        has_connections = len(report) > self._connections_field >= 0
-        return report[self._load_field], report[self._connections_field] if has_connections else 0
+        has_connections = len(report) > self._connections_field_index >= 0
+        return report[self._load_field_index], report[self._connections_field_index] if has_connections else 0
 
     def on_report(self, server: Server) -> None:
         """Handle a report of this server, received by a health check or from a peer."""
         server.health_check_sent_at_us = 0
         self.unanswered = 0
 
-    def _next_sweep_in_us(self, gossips: bool) -> int:
+    def _next_sweep_in_us(self, gossip_active: bool) -> int:
         now_us = self._clock.now_us
         just_started = now_us < self._clock.started_at_us + MAX_SWEEP_INTERVAL_US
-        if self.on_demand and not gossips and not just_started:
+        if self.on_demand and not gossip_active and not just_started:
             return MAX_SWEEP_INTERVAL_US
-        return min(self._loads.report_interval_us, SECOND if gossips else MAX_SWEEP_INTERVAL_US)
+        return min(self._loads.report_interval_us, SECOND if gossip_active else MAX_SWEEP_INTERVAL_US)
 
 
 def polls_load_reports(settings: Settings) -> bool:
     """Whether servers report a load that health checks can retrieve."""
-    return settings.allows_health_checks and settings.report_via != "none" and load_field(settings) >= 0
+    return settings.allows_health_checks and settings.report_via != "none" and load_field_index(settings) >= 0
 
 
-def load_field(settings: Settings) -> int:
+def load_field_index(settings: Settings) -> int:
     """Return the index of the load in a report, or -1."""
     fields = list(settings.report_fields)
     return next((fields.index(name) for name in ("x0", "util") if name in fields), -1)
 
 
-def connections_field(settings: Settings) -> int:
+def connections_field_index(settings: Settings) -> int:
     """Return the index of the server's number of connections in a report, or -1."""
     fields = list(settings.report_fields)
     return fields.index("inflight") if "inflight" in fields else -1
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -58,17 +58,17 @@
         migrations: so the backlog is ignored then, and the time until the next relief is longer.
         """
         now_us = self._clock.now_us
-        gossips = self._gossip.is_active(now_us)
-        if gossips:
-            asked_load = load
+        gossip_active = self._gossip.is_active(now_us)
+        if gossip_active:
+            offered_load = load
             interval_us = 2 * RELIEF_INTERVAL_US + self._gossip.round_interval_us
         else:
-            asked_load = load_with_backlog
+            offered_load = load_with_backlog
             interval_us = RELIEF_INTERVAL_US
         is_due = now_us - server.relieved_at_us >= interval_us
-        if load > 0 and asked_load > MAX_LOAD_BEFORE_RELIEF and is_due:
-            excess_share = (asked_load - self._loads.preferred_max_load) / load
-            self._relieve(server, excess_share, gossips)
+        if load > 0 and offered_load > MAX_LOAD_BEFORE_RELIEF and is_due:
+            excess_share = (offered_load - self._loads.preferred_max_load) / load
+            self._relieve(server, excess_share, gossip_active)
 
     def on_message_latency(self, inferred_loads: InferredLoads, server: Server, latency_us: float) -> None:
         """Handle a message's latency: migrate the excess load, where loads are inferred."""
@@ -100,7 +100,7 @@
         if 2 * sum(healthy) >= len(healthy) - 1:
             self._relieve(server, 1 - COMFORTABLE_LOAD)
 
-    def _relieve(self, server: Server, excess_share: float, gossips: bool = False) -> None:
+    def _relieve(self, server: Server, excess_share: float, gossip_active: bool = False) -> None:
         """Migrate the costliest connections, up to this share of the load that this node adds to the server.
 
         Beyond its capacity a server answers nothing in time, and its connections stay for minutes. A report
@@ -118,14 +118,14 @@
         live.sort(key=lambda c: self._cost(c, c.load_us_per_second), reverse=True)
         excess_load = excess_share * sum(c.load_us_per_second for c in live)
         for connection in live:
-            if self._stops_by_chance(excess_load, mean_load):
+            if self._stops_randomly(excess_load, mean_load):
                 break
-            if gossips and not self._acquire_gossip_migration():
+            if gossip_active and not self._acquire_gossip_migration():
                 break
             excess_load -= connection.load_us_per_second
             self._migrate(connection)
 
-    def _stops_by_chance(self, excess_load: float, mean_load: float) -> bool:
+    def _stops_randomly(self, excess_load: float, mean_load: float) -> bool:
         """Return whether to stop migrating: drawn at random, likelier the smaller the remaining excess.
 
         If each of hundreds of nodes rounded up, all would migrate all their connections at once.
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -18,9 +18,9 @@
 from limerudder.policy.timers import TimerToken
 from limerudder.policy.traffic_rates import TrafficRates
 
-#: Minimum price of a connection across zones, in migrations, for a migration to the local zone to pay off:
-#: the gap in a client's connection costs too.
-MIN_CROSSING_TO_MIGRATION_PRICE = 3
+#: Minimum ratio of the price of a cross-zone connection to that of a migration: the gap in a client's
+#: connection costs too.
+MIN_CROSS_ZONE_TO_MIGRATION_PRICE_RATIO = 3
 SETTLED_AFTER_US = 5 * SECOND  #: Age at which a reconnected client may be migrated to the local zone
 MIN_MIGRATION_INTERVAL_US = SECOND // 2
 MAX_MIGRATION_INTERVAL_US = 10 * SECOND
@@ -92,7 +92,7 @@
     def migrate(self) -> None:
         """Migrate one connection if a local server has spare capacity, and schedule the next check."""
         prices = self._settings.prices
-        if prices.get("crossZone", 0) <= MIN_CROSSING_TO_MIGRATION_PRICE * prices.get("moves", 0):
+        if prices.get("crossZone", 0) <= MIN_CROSS_ZONE_TO_MIGRATION_PRICE_RATIO * prices.get("moves", 0):
             return
         wait_us = IDLE_INTERVAL_US
         remote = self._migratable_connections()
@@ -131,17 +131,17 @@
         connection = self._rng.choice(remote)
         zone = self._settings.zone
         local = [server for server in self._selector.sample(self._registry.ready) if server.zone == zone]
-        level = self._max_load(connection)
+        max_load = self._max_load(connection)
         local = [
             server
             for server in local
-            if self._estimate(server) is None or self._selector.is_eligible(connection, server, level)
+            if self._estimate(server) is None or self._selector.is_eligible(connection, server, max_load)
         ]
-        known = [server for server in local if self._estimate(server) is not None]
-        if self._rng.random() < self._migration_probability(known, level, interval_us):
+        servers_with_estimate = [server for server in local if self._estimate(server) is not None]
+        if self._rng.random() < self._migration_probability(servers_with_estimate, max_load, interval_us):
             connection.live = False
             self._actions.append(MigrateClient(connection.id))
-        elif not known:
+        elif not servers_with_estimate:
             polled = [self._poller.poll(server) for server in local[:CHOICES]]
             if any(polled):
                 return REPORT_WAIT_US
@@ -165,19 +165,19 @@
         current_load = self._estimate(connection.server) if connection.server else None
         return min(COMFORTABLE_LOAD, max(self._loads.mean_reported_load, current_load or 0))
 
-    def _migration_probability(self, servers: list[Server], level: float, interval_us: int) -> float:
+    def _migration_probability(self, servers: list[Server], max_load: float, interval_us: int) -> float:
         """Return the probability of a migration, by this node's share of these servers' spare capacity.
 
         Until reports show the migrations of the other nodes, each node would fill the same capacity.
         """
         now_us = self._clock.now_us
-        room = sum(
-            (level - (self._estimate(server) or 0))
+        connection_capacity = sum(
+            (max_load - (self._estimate(server) or 0))
             / max(self._loads.marginal_load(server, now_us), MIN_MARGINAL_LOAD)
             for server in servers
         )
         report_interval_us = max(2 * self._loads.report_interval_us, SECOND)
-        return room / self._settings.node_count * interval_us / report_interval_us
+        return connection_capacity / self._settings.node_count * interval_us / report_interval_us
 
     def _estimate(self, server: Server) -> float | None:
         return self._loads.estimate(server, self._clock.now_us)
--- a/tests/test_discovery_timing.py
+++ b/tests/test_discovery_timing.py
@@ -62,7 +62,7 @@
 
 
 LATE_FATES = (Fate.LATE, Fate.LATE_THEN_GOOD)
-LIVELY_FATES = (Fate.ENDLESS, Fate.WITHOUT_LIST, Fate.GOOD, Fate.LATE_THEN_GOOD)
+FATES_WITH_EMPTY_LINES = (Fate.ENDLESS, Fate.WITHOUT_LIST, Fate.GOOD, Fate.LATE_THEN_GOOD)
 DRAWN_FATES = [fate for fate in Fate if fate != Fate.LATE_THEN_GOOD]
 
 
@@ -115,7 +115,7 @@
             self.answered.add(number)
             transport.accept(began_at_us)
             self._begin_answer(fate, call)
-        elif fate in LIVELY_FATES and age_us % EMPTY_LINE_INTERVAL_US < STEP_US:
+        elif fate in FATES_WITH_EMPTY_LINES and age_us % EMPTY_LINE_INTERVAL_US < STEP_US:
             call.data_received(chunk(b"\n"), now_us)
 
     def _begin_answer(self, fate: Fate, call: DiscoveryCall) -> None:
@@ -170,7 +170,7 @@
     drained_at_us = simulated.now
     service.drain()
     while node.upstreams.get_or_create("s-1").state == ServerState.READY:
-        assert simulated.now - drained_at_us < 60 * SECOND, "the drain was never applied"
+        assert simulated.now - drained_at_us < 60 * SECOND, "the drain is not applied"
         service.step()
         simulated.run(STEP_US)
     server = node.balancer.registry.servers[node.upstreams.by_name["s-1"].number]  # type: ignore[attr-defined]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -156,7 +156,7 @@
 def test_rounds_become_more_frequent_as_soon_as_connections_cover_their_cost() -> None:
     """Each node checks every second whose turn it is, not only after the previous interval."""
     tier = Tier()
-    tier.run(2 * SECOND + SECOND // 4)  # each node has checked once
+    tier.run(2 * SECOND + SECOND // 4)  # Each node has checked once
     datagrams_before = tier.datagrams
     tier.add_connections(5)
     tier.run(SECOND + SECOND // 2)
--- a/tests/test_load_polling.py
+++ b/tests/test_load_polling.py
@@ -70,5 +70,5 @@
     for server_id in range(1, 11):
         driver.report_load(server_id, 0.5)
     health_checks_before = len(driver.actions_of_type(CheckHealth))
-    driver.run(2 * SECOND)  # the price of health checks limits the sweep rate
+    driver.run(2 * SECOND)  # The price of health checks limits the sweep rate
     assert len(driver.actions_of_type(CheckHealth)) - health_checks_before <= 30
