--- a/limerudder/policy/discovery_polling.py
+++ b/limerudder/policy/discovery_polling.py
@@ -1,4 +1,4 @@
-"""Schedules the polls of discovery for the endpoint list, where it is polled."""
+"""Schedules the polls of discovery for the endpoint list, unless discovery pushes it."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             self.poll()
 
     def on_update(self) -> None:
-        """Handle an answer of discovery: schedule the renewal."""
+        """Handle an answer from discovery: schedule the renewal."""
         self._backoff.record_success()
         self._schedule(int(self._poll_interval_us * self._rng.uniform(*RENEWAL_FRACTIONS)))
 
--- a/limerudder/policy/discovery_timing.py
+++ b/limerudder/policy/discovery_timing.py
@@ -1,6 +1,6 @@
 """Deadlines and back-off of calls to the discovery service. Performs no I/O.
 
-A node counts as notified of a change `NOTIFY_DEADLINE_US` after discovery had it and could be reached,
+Operators count a node as notified of a change `NOTIFY_DEADLINE_US` after discovery had it and was reachable,
 regardless of the outcome of earlier calls. So the worst-case time until an answer has to be shorter: a dead
 call is cancelled, the node waits, and the next call is answered:
 
@@ -26,13 +26,13 @@
 MAX_COMPLETE_TIMEOUT_US = 8 * COMPLETE_TIMEOUT_US
 #: Timeout for a watch that receives nothing. The service sends an empty line every 2 s.
 IDLE_TIMEOUT_US = 3 * SECOND
-#: Maximum time until a dead call is detected.
+#: Maximum time for which a dead call stays open.
 CALL_TIMEOUT_US = max(FIRST_BYTE_TIMEOUT_US, COMPLETE_TIMEOUT_US, IDLE_TIMEOUT_US)
 CHECK_INTERVAL_US = SECOND // 10  #: Time between two checks of the open calls
 
 #: Timeout for an agent on the same machine, which answers at once unless discovery is down.
 AGENT_FIRST_BYTE_TIMEOUT_US = 3 * SECOND // 10
-#: Time between two calls to an agent, which have no cost.
+#: Time between two calls to an agent; these calls have no cost.
 AGENT_RETRY_INTERVAL_US = SECOND // 10
 
 FIRST_BACKOFF_US = SECOND // 2  #: Maximum wait after one failure
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -53,7 +53,7 @@
     """New connections per second at one node."""
 
     total: float
-    fresh: float  #: Reconnections excluded
+    fresh: float  #: Rate without reconnections
 
 
 class LoadRow(NamedTuple):
@@ -169,7 +169,7 @@
         )
 
     def update_interval(self, server_count: int, own_rate: float) -> None:
-        """Set the round interval to the shortest one whose cost the tier's requests cover.
+        """Set the round interval to the shortest one, within bounds, whose cost the tier's requests cover.
 
         `own_rate`: this node's new connections per second.
         """
--- a/limerudder/policy/load_polling.py
+++ b/limerudder/policy/load_polling.py
@@ -21,8 +21,8 @@
 #: Maximum share of the result spent on health checks; the reports must be worth more than that.
 MAX_HEALTH_CHECK_COST_SHARE = 0.01
 MIN_HEALTH_CHECK_PRICE = 1e-5  #: Lower bound that keeps the budget finite where health checks are free
-MIN_SWEEP_INTERVAL_US = SECOND // 2  #: Servers rarely update their reports faster than this
-MAX_SWEEP_INTERVAL_US = 4 * SECOND  #: Reports older than this are misleading
+MIN_SWEEP_INTERVAL_US = SECOND // 2  #: Minimum time between sweeps; reports are rarely renewed faster
+MAX_SWEEP_INTERVAL_US = 4 * SECOND  #: Maximum time between sweeps; older reports are misleading
 REPORT_WAIT_US = SECOND // 20  #: Maximum wait of a placement for reports, below any latency objective
 INITIAL_CREDIT = 8.0  #: Number of health checks that a node may send before its first request
 
@@ -67,12 +67,12 @@
         """
         now_us = self._clock.now_us
         ready = self._registry.ready
-        paid_interval_us = SECOND * len(ready) / (self._credit_per_request * self._rates.usual_request_rate())
+        affordable_us = SECOND * len(ready) / (self._credit_per_request * self._rates.usual_request_rate())
         gossip_active = self._gossip.is_active(now_us)
         is_too_large = segment_count(len(ready)) > 1
-        self.on_demand = paid_interval_us > MAX_SWEEP_INTERVAL_US or is_too_large or gossip_active
+        self.on_demand = affordable_us > MAX_SWEEP_INTERVAL_US or is_too_large or gossip_active
         if not self.on_demand:
-            self._loads.report_interval_us = int(max(paid_interval_us, MIN_SWEEP_INTERVAL_US))
+            self._loads.report_interval_us = int(max(affordable_us, MIN_SWEEP_INTERVAL_US))
             self._actions.extend(CheckHealth(server.id) for server in ready)
         elif gossip_active:
             self._loads.report_interval_us = self._gossip.round_interval_us // 2
@@ -112,7 +112,7 @@
         return report[self._load_field_index], report[self._connections_field_index] if has_connections else 0
 
     def on_report(self, server: Server) -> None:
-        """Handle a report of this server, received by a health check or from a peer."""
+        """Handle a report from this server, received by a health check or from a peer."""
         server.health_check_sent_at_us = 0
         self.unanswered = 0
 
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -17,11 +17,11 @@
 from limerudder.policy.reported_loads import COMFORTABLE_LOAD, ReportedLoads
 from limerudder.policy.traffic_rates import TrafficRates
 
-MAX_LOAD_BEFORE_RELIEF = 0.9  #: A server at more than its capacity answers nothing in time
-#: Maximum age of a report; until it has passed, reports may not show the last migrations.
+MAX_LOAD_BEFORE_RELIEF = 0.9  #: Relief threshold; beyond its capacity a server answers nothing in time
+#: Minimum time between reliefs: the maximum age of a report, as older ones may not show the last migrations.
 RELIEF_INTERVAL_US = 3 * SECOND // 2
 MIN_OVER_QUOTA_WEIGHT = 0.01
-GOSSIP_MIGRATION_BURST = 2.0  #: Number of migrations allowed at once, where all nodes migrate
+GOSSIP_MIGRATION_BURST = 2.0  #: Number of migrations allowed at once while all nodes migrate
 
 
 class OverloadRelief:
@@ -87,7 +87,7 @@
         inferred_loads.remember_own_load(server)
 
     def on_slow_message(self, server: Server) -> None:
-        """Handle a slow message of a server, in a tier whose nodes cannot afford sweeps.
+        """Handle a slow message at a server, in a tier whose nodes cannot afford sweeps.
 
         Relieves the server only while most of this node's connections are at healthy servers: if all servers
         were slow, hundreds of nodes would migrate all their connections.
@@ -134,7 +134,7 @@
         return self._rng.random() > probability
 
     def _acquire_gossip_migration(self) -> bool:
-        """Whether the store shared by all connects can bear one more migration, where all nodes migrate."""
+        """Whether the store shared by all connects can sustain one more migration while all nodes migrate."""
         rate = PACED_RATE_FACTOR * self._rates.usual_fresh_rate(self._gossip)
         return self._gossip_migrations.try_acquire(self._clock.now_us, rate)
 
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -1,4 +1,4 @@
-"""Migrates connections to better places: the local zone, or a server returned to service.
+"""Migrates connections to better placed servers: in the local zone, or returned to service.
 
 The next server of a migrated client is selected when it reconnects, as for any other request.
 """
@@ -105,7 +105,7 @@
         """Return the connections in other zones.
 
         Returns none while connects fail everywhere, or without load data: filled by a guess, the servers of
-        a zone may be overloaded, and nothing would ever show it.
+        a zone may be overloaded without ever being detected.
         """
         if self._pacer.interval_us or not self._loads.has_load_data:
             return []
@@ -121,7 +121,7 @@
         ]
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Whether to migrate a client: if it found no capacity here, it would move back and forth."""
+        """Whether to migrate a client: one reconnected for lack of capacity would move back and forth."""
         settled_at_us = connection.established_at_us + SETTLED_AFTER_US
         return not connection.is_reconnect or self._clock.now_us >= settled_at_us
 
@@ -150,8 +150,8 @@
     def _migration_interval_us(self) -> int:
         """Return the time between migrations, derived from the usual rate of requests.
 
-        Migrated at once, all nodes' clients would overload the store shared by all connects: it bears a few
-        times the usual rate, and connections that break by themselves need capacity there too.
+        Migrated at once, all nodes' clients would overload the store shared by all connects: it sustains a
+        few times the usual rate, and connections that break by themselves need capacity there too.
         """
         interval_us = int(SECOND / (PACED_RATE_FACTOR * self._rates.usual_request_rate()))
         return min(max(interval_us, MIN_MIGRATION_INTERVAL_US), MAX_MIGRATION_INTERVAL_US)
@@ -159,8 +159,8 @@
     def _max_load(self, connection: Connection) -> float:
         """Return the load up to which local servers are filled.
 
-        This is the load of the fleet or of the connection's own server: filled beyond it, the servers of a
-        zone with many clients have no capacity for a load spike.
+        This is the higher of the fleet's load and that of the connection's server: filled beyond it, the
+        servers of a zone with many clients have no capacity for a load spike.
         """
         current_load = self._estimate(connection.server) if connection.server else None
         return min(COMFORTABLE_LOAD, max(self._loads.mean_reported_load, current_load or 0))
--- a/limerudder/policy/sweep_segments.py
+++ b/limerudder/policy/sweep_segments.py
@@ -25,5 +25,5 @@
     segments = segment_count(len(ready))
     if segments == 1:
         return ready
-    own = node_index % segments
-    return [server for server in ready if server.id % segments == own]
+    own_index = node_index % segments
+    return [server for server in ready if server.id % segments == own_index]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -139,7 +139,7 @@
 def test_a_report_that_reaches_all_nodes_at_once_causes_no_wave_of_migrations() -> None:
     """Regression: 60 nodes relieved the same servers again before reports showed the first migrations."""
     migrations = count_migrations(Tier(), 1.2)
-    # 240 connections; each node migrates two at once, then no more than the store of set-ups allows
+    # 240 connections; each node migrates two at once, then at the rate allowed for the shared store
     assert 0 < migrations <= NODE_COUNT * 4
     assert count_migrations(Tier(), 0.8) == 0
 
