--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -61,7 +61,7 @@
 def test_the_local_zone_is_filled_no_further_than_the_fleet_or_the_current_server(
     local_load: float, remote_load: float, migrates: bool
 ) -> None:
-    """Regression: local servers at 0.7 had no capacity for a load spike: 289 resets, 393 time-outs."""
+    """Local servers at 0.7 had no capacity for a load spike: 289 resets, 393 attempts timed out."""
     driver = Driver(TWO_ZONES, servers=SERVERS)
     for _ in range(10):
         driver.add_connection(REMOTE_SERVER)
