--- a/limerudder/policy/load_polling.py
+++ b/limerudder/policy/load_polling.py
@@ -41,7 +41,7 @@
         settings = context.settings
         self.enabled = polls_load_reports(settings)
         self.on_demand = self.enabled
-        self.unanswered = 0  # On-demand health checks sent since the last report
+        self.unanswered_health_checks = 0  # On-demand health checks sent since the last report
         self._settings = settings
         self._clock = context.clock
         self._actions = context.actions
@@ -94,7 +94,7 @@
             return False
         self._credit -= 1
         server.health_check_sent_at_us = now_us
-        self.unanswered += 1
+        self.unanswered_health_checks += 1
         self._actions.append(CheckHealth(server.id))
         return True
 
@@ -114,7 +114,7 @@
     def on_report(self, server: Server) -> None:
         """Handle a report from this server, received by a health check or from a peer."""
         server.health_check_sent_at_us = 0
-        self.unanswered = 0
+        self.unanswered_health_checks = 0
 
     def _next_sweep_in_us(self, gossip_active: bool) -> int:
         now_us = self._clock.now_us
--- a/limerudder/policy/load_shedding.py
+++ b/limerudder/policy/load_shedding.py
@@ -93,7 +93,7 @@
         answer_due_at_us = server.health_check_sent_at_us + HEALTH_CHECK_ANSWER_US
         return (
             self.context.clock.now_us < answer_due_at_us
-            and self.poller.unanswered < MAX_UNANSWERED_HEALTH_CHECKS
+            and self.poller.unanswered_health_checks < MAX_UNANSWERED_HEALTH_CHECKS
         )
 
     def _exceeds_level(self, server: Server, level: float, estimate: float) -> bool:
