--- a/limerudder/policy/balancer.py
+++ b/limerudder/policy/balancer.py
@@ -87,7 +87,7 @@
 
     def malformed_peer_messages(self) -> int:
         """Return how many datagrams of peers were dropped because they are of no known form."""
-        return self.gossip.malformed
+        return self.gossip.malformed_datagrams
 
     def confirm_send(self, request_id: int, server_id: int, now_us: int) -> bool:
         """Return whether a request may be written to a server now; asked directly before it is written.
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -157,7 +157,7 @@
         self.last_round_at_us = 0
         self._last_sender = self._node_count - 1
         self._own_round_started_at_us = 0  # 0 while this node has no round in progress
-        self.malformed = 0  #: Number of malformed datagrams received
+        self.malformed_datagrams = 0  #: Number of malformed datagrams received
 
     def is_active(self, now_us: int) -> bool:
         """Whether reports from rounds are still arriving."""
--- a/limerudder/policy/gossip_exchange.py
+++ b/limerudder/policy/gossip_exchange.py
@@ -60,7 +60,7 @@
             return
         message = decode(event.data)
         if message is None:
-            self._gossip.malformed += 1
+            self._gossip.malformed_datagrams += 1
             return
         rates, rows = message
         self._gossip.record_round(event.sender, rates, self._clock.now_us)
