--- a/limerudder/policy/balancer.py
+++ b/limerudder/policy/balancer.py
@@ -87,7 +87,7 @@
 
     def malformed_peer_messages(self) -> int:
         """Return the number of peer datagrams dropped because their format is invalid."""
-        return self.gossip.malformed
+        return self.gossip.malformed_datagrams
 
     def confirm_send(self, request_id: int, server_id: int, now_us: int) -> bool:
         """Return whether a request may be written to a server now; called directly before the write.
