--- a/limerudder/core/client/__init__.py
+++ b/limerudder/core/client/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: sessions of client connections and their admission."""
+"""Client connections: sessions, first lines and admission control."""
--- a/limerudder/core/client/admission.py
+++ b/limerudder/core/client/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: which client connections may stay open when file descriptors run short."""
+"""Admission control: limits client connections to the available file descriptors."""
 
 from __future__ import annotations
 
@@ -7,91 +7,91 @@
 
 
 class AdmittedConnection(Protocol):
-    """A client's connection, as admission control sees it."""
+    """The interface of a client connection that admission control uses."""
 
     def evict(self, now_us: int) -> None:
-        """Send the final response and begin to close; the client has no request in progress."""
+        """Send the final response and start to close; the client has no request in progress."""
 
     def force_close(self) -> None:
-        """Close at once; the final response has been sent."""
+        """Close immediately; the final response has been sent."""
 
 
 class AdmissionControl:
     """Tracks all client connections; when descriptors run short, closes idle ones, the longest idle first.
 
-    A connection is idle while it has no request: before its first line, or after a PING. It is closing once
-    it has its final response and is given a moment to read it.
+    A connection is idle while it has no request: before its first line, or after a PING. It is closing from
+    its final response until it is closed; this gives the client time to read the response.
     """
 
     def __init__(self, max_descriptors: int, reserved: int, attempts: Sized) -> None:
         self.max_descriptors = max_descriptors
-        self.reserved = reserved  # for discovery, health checks, peers and closing connections
-        self.attempts = attempts  # the requests that hold, or may need, an upstream connection
-        self.other_process_descriptors = 0  # of this node's other process during a hot restart
-        self.listed_hosts = 0  # hosts that may each hold one health check connection
+        self.reserved = reserved  # reserve for discovery, health checks, peers and closing connections
+        self.attempts = attempts  # requests that have, or may need, an upstream connection
+        self.other_process_descriptors = 0  # descriptors used by this node's other process in a hot restart
+        self.listed_hosts = 0  # listed upstreams, each of which may have one health check connection
         self.connections: set[AdmittedConnection] = set()
-        self.idle: dict[AdmittedConnection, None] = {}  # the longest idle first
-        self.closing: dict[AdmittedConnection, None] = {}  # the first to begin closing first
+        self.idle: dict[AdmittedConnection, None] = {}  # idle connections, longest idle first
+        self.closing: dict[AdmittedConnection, None] = {}  # closing connections, oldest first
 
     @property
     def capacity(self) -> int:
         """Descriptors available to clients and attempts."""
-        # Each listed host may hold one health check connection of this node beside its attempts. A long list
-        # must leave descriptors for those, but may not take more than half of all.
+        # Each listed upstream may have one health check connection in addition to its attempts. These are
+        # reserved too, but a long endpoint list must not reserve more than half of all descriptors.
         max_reserved = max(self.max_descriptors // 2, self.reserved)
         reserved = min(self.reserved + self.listed_hosts, max_reserved)
         return max(self.max_descriptors - reserved - self.other_process_descriptors, 0)
 
     @property
     def max_health_checks(self) -> int:
-        """How many health check connections are paid for by the reserve."""
+        """Maximum number of health check connections covered by the reserve."""
         beyond_base = min(self.listed_hosts, max(self.max_descriptors // 2 - self.reserved, 0))
         return max(beyond_base, self.reserved // 4)
 
     @property
     def max_closing(self) -> int:
-        """How many closing connections are paid for by the reserve."""
+        """Maximum number of closing connections covered by the reserve."""
         return self.reserved // 4
 
     def descriptors_in_use(self) -> int:
-        """Descriptors that clients and attempts hold, without the closing ones that the reserve pays for."""
+        """Return the descriptors of clients and attempts, except closing ones covered by the reserve."""
         return len(self.connections) - min(len(self.closing), self.max_closing) + len(self.attempts)
 
     def set_other_process_descriptors(self, descriptors: int) -> None:
-        """Leave this many to this node's other process."""
+        """Set the number of descriptors to leave to this node's other process."""
         self.other_process_descriptors = descriptors
 
     def admit(self, connection: AdmittedConnection, now_us: int) -> bool:
-        """Track a new connection; False if descriptors are short though no other idle connection is left."""
+        """Track a new connection; return False if descriptors are short and no other connection is idle."""
         self.connections.add(connection)
         self.mark_idle(connection)
         return self.free_descriptors(now_us)
 
     def mark_idle(self, connection: AdmittedConnection) -> None:
-        """Record activity of a connection without a request: it becomes the last to be evicted."""
+        """Record activity of a connection without a request; it moves to the end of the eviction order."""
         self.idle.pop(connection, None)
         self.idle[connection] = None
 
     def mark_active(self, connection: AdmittedConnection) -> None:
-        """The connection has a request: it is not evicted."""
+        """Exempt a connection that has a request from eviction."""
         self.idle.pop(connection, None)
 
     def mark_closing(self, connection: AdmittedConnection) -> None:
-        """The connection has its final response."""
+        """Record that a connection has received its final response."""
         self.idle.pop(connection, None)
         self.closing[connection] = None
 
     def remove(self, connection: AdmittedConnection) -> None:
-        """The connection is closed."""
+        """Stop tracking a closed connection."""
         self.idle.pop(connection, None)
         self.closing.pop(connection, None)
         self.connections.discard(connection)
 
     def free_descriptors(self, now_us: int) -> bool:
-        """Close idle and closing connections until usage fits the capacity; False if it still does not."""
+        """Close idle and closing connections until usage fits the capacity; return False if it does not."""
         # Hundreds of connections that never send anything must not starve ordinary clients and their
-        # attempts. The longest idle goes first: an ordinary client sends its first line soon after it has
-        # connected.
+        # attempts. The longest idle connection is evicted first, because an ordinary client sends its first
+        # line soon after connecting.
         while self.descriptors_in_use() > self.capacity:
             if len(self.closing) > self.max_closing:
                 next(iter(self.closing)).force_close()
@@ -102,6 +102,6 @@
         return True
 
     def evict_all(self, now_us: int) -> None:
-        """Evict every idle connection, as the node shuts down."""
+        """Evict all idle connections when the node shuts down."""
         for connection in list(self.idle):
             connection.evict(now_us)
--- a/limerudder/core/client/connection.py
+++ b/limerudder/core/client/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection whatever it speaks: admission, the final response and the lingering close."""
+"""Protocol-independent client connections: admission, final response and lingering close."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from limerudder.core.timer_wheel import ResettableTimer, TimerWheel
 from limerudder.core.transport import Transport
 
-LINGER_US = 1_000_000  #: for a client to read its final response and to close first
-MAX_DISCARDED_BYTES = 1 << 18  #: read and thrown away meanwhile; from there on nothing is read
+LINGER_US = 1_000_000  #: Time for a client to read its final response and close first
+MAX_DISCARDED_BYTES = 1 << 18  #: Maximum data read and discarded while closing; then reading stops
 
 
 class ClientState(Enum):
-    """What a client's connection waits for."""
+    """The state of a client connection."""
 
-    READING_LINE = auto()  # the client's first line
-    AWAITING_ANSWER = auto()  # the final answer to its request
-    PROXYING = auto()  # data from either side
-    CLOSING = auto()  # the client's close; the final response has been sent, or the connection is closed
+    READING_LINE = auto()  # waiting for the client's first line
+    AWAITING_ANSWER = auto()  # waiting for the final answer to the request
+    PROXYING = auto()  # relaying data in both directions
+    CLOSING = auto()  # the final response has been sent, or the connection is closed
 
 
 class ClientConnection:
-    """The part of a client session that does not depend on what the client requests."""
+    """The part of a client session that does not depend on the protocol."""
 
     def __init__(self, admission: AdmissionControl, counters: Counters, timer_wheel: TimerWheel) -> None:
         self.transport: Transport | None = None
@@ -37,25 +37,25 @@
     # called by admission control
 
     def evict(self, now_us: int) -> None:
-        """End the connection of a client without a request."""
+        """Answer BUSY and close; the client has no request."""
         self._end_without_request(CounterName.CLIENTS_EVICTED, now_us)
 
     def force_close(self) -> None:
-        """Close at once: the final response has been sent, and the descriptor is needed."""
+        """Close immediately to free the descriptor; the final response has been sent."""
         self._counters.increment(CounterName.CLIENTS_FORCE_CLOSED)
         self._close()
 
-    # endings
+    # closing
 
     def _end_without_request(self, counter: CounterName, now_us: int) -> None:
-        # A first line may be on its way: nobody will read it, and BUSY is its final answer.
+        # A first line may be in transit. It will not be read, so BUSY is its final answer.
         self._counters.increment(counter)
         self._finish(responses.BUSY, now_us)
 
     def _finish(self, response: bytes, now_us: int) -> None:
-        """Send the final response, if any, and begin a lingering close."""
-        # A socket that is closed with unread data sends a reset, which may overtake the final response.
-        # So the client is given a moment to read it and to close first.
+        """Send the final response, if any, and start a lingering close."""
+        # Closing a socket that has unread data sends a reset, which may overtake the final response.
+        # The client therefore gets time to read the response and close first.
         self._enter_closing()
         if self.transport:
             self._admission.mark_closing(self)
@@ -66,7 +66,7 @@
         self._timer.set(now_us + LINGER_US, lambda _: self._close())
 
     def _discard(self, data: bytes) -> None:
-        """Drop data that came after the final response."""
+        """Drop data received after the final response."""
         # A client that keeps sending at full speed must not occupy the event loop.
         self._counters.increment(CounterName.BYTES_DISCARDED, len(data))
         self._discarded_bytes += len(data)
--- a/limerudder/core/client/open_line.py
+++ b/limerudder/core/client/open_line.py
@@ -11,8 +11,8 @@
 
 LINE_END = b"\r\n"
 MICROSECONDS_PER_MILLISECOND = 1000
-FIELD_VALUE_LIMIT = 1 << 32  #: numbers in fields are smaller than this, after conversion to their unit
-_OPEN_LINE_WORDS = 4  #: OPEN, the id, the key, and the fields
+FIELD_VALUE_LIMIT = 1 << 32  #: Exclusive upper bound of numbers in fields, after conversion to their unit
+_OPEN_LINE_WORDS = 4  #: Number of words: OPEN, id, key and fields
 _IDENTIFIER = re.compile("[0-9a-f]{16}")
 _FIELD_NAME = re.compile("[A-Za-z][A-Za-z0-9_]*")
 _WHOLE_NUMBER = re.compile("0|[1-9][0-9]{0,9}")
@@ -20,9 +20,9 @@
 
 
 class OpenLineError(ValueError):
-    """A first line that the node does not accept; the client is answered ERR."""
+    """A first line that the node rejects with ERR."""
 
-    counter: ClassVar[CounterName]  #: where such lines are counted
+    counter: ClassVar[CounterName]  #: Counter for lines with this error
 
 
 class MalformedLineError(OpenLineError):
@@ -38,23 +38,23 @@
 
 
 class EarlyDataError(OpenLineError):
-    """Data behind a line whose answer the client has not waited for."""
+    """Data that a client sent after a line without waiting for the answer."""
 
     counter = CounterName.REQUESTS_PIPELINED_EARLY
 
 
 class FirstLineBuffer:
-    """Collects a client's first line; holds less than one line's length at any time."""
+    """Buffers a client's first line; its size stays below the maximum line length."""
 
     __slots__ = ("line",)
 
     def __init__(self) -> None:
-        self.line = b""  # without its line end
+        self.line = b""  # data received so far, without the line end
 
     def feed(self, data: bytes) -> bool:
-        """Add received bytes; True once the line is complete. Raises OpenLineError."""
-        # A client that never ends its line, or sends a huge value, must not cost memory or time: no more than
-        # one line's length is kept and searched.
+        """Add received data; return True once the line is complete. Raises OpenLineError."""
+        # To bound memory and time for a client that never ends its line or sends a huge value, no more than
+        # the maximum line length is kept and searched.
         text = self.line + data[:MAX_LINE_BYTES]
         line, end, rest = text.partition(LINE_END)
         if len(line) + len(LINE_END) > MAX_LINE_BYTES:
@@ -64,21 +64,21 @@
             if not is_printable_ascii(line.removesuffix(b"\r")):
                 raise MalformedLineError(line)
             return False
-        # A client waits for the answer to its line; commands sent in one go are not executed.
+        # Clients must wait for the answer to a line; pipelined commands are not executed.
         if rest or len(data) > MAX_LINE_BYTES:
             raise EarlyDataError(line)
         return True
 
     def clear(self) -> None:
-        """Forget the line."""
+        """Discard the line."""
         self.line = b""
 
 
 def parse_open_line(line: bytes) -> ConnectRequest:
-    """Parse `OPEN ID KEY c=CLASS,...`, without its line end. Raises MalformedLineError.
+    """Parse `OPEN ID KEY c=CLASS,...` without the line end. Raises MalformedLineError.
 
-    The accepted forms are narrower than what Python reads as a number or a name: a line in a form that no
-    client sends, or one that can be read in two ways, must not reach an upstream.
+    The accepted formats of numbers and names are narrower than Python's: a line in a format that no client
+    sends, or that can be interpreted in two ways, must not reach an upstream.
     """
     words = line.decode("ascii", "replace").split(" ")
     if not is_printable_ascii(line) or len(words) != _OPEN_LINE_WORDS or words[0] != "OPEN":
@@ -103,9 +103,9 @@
 
 
 def format_attempt_line(line: bytes, wait_us: int | None) -> bytes:
-    """The client's line as an upstream gets it: `d` tells how long the node waits, in whole milliseconds.
+    """Return the client's line for an upstream, with `d` set to the node's timeout in whole milliseconds.
 
-    Everything else is unchanged. Without a limit (`wait_us` is None) the whole line is.
+    Everything else is unchanged. Without a timeout (`wait_us` is None) the whole line is unchanged.
     """
     if wait_us is None:
         return line + LINE_END
@@ -116,7 +116,7 @@
 
 
 def is_printable_ascii(text: bytes) -> bool:
-    """Whether the text has printable ASCII characters only; an empty one has."""
+    """Return whether the text is empty or contains only printable ASCII characters."""
     return text.isascii() and text.decode().isprintable()
 
 
--- a/limerudder/core/client/request_handler.py
+++ b/limerudder/core/client/request_handler.py
@@ -1,4 +1,4 @@
-"""What a client session needs of the node that handles its request."""
+"""The interfaces that a client session uses to submit its request to the node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestHandler(Protocol):
-    """Accepts the requests of client sessions: the node."""
+    """Accepts the requests of client sessions; implemented by the node."""
 
     timer_wheel: TimerWheel
     counters: Counters
@@ -22,11 +22,11 @@
     def accept_request(
         self, session: ClientSession, request: ConnectRequest, now_us: int
     ) -> RequestObserver | None:
-        """Accept a request; None, after counting it, if this node cannot accept it."""
+        """Accept a request; return None, after counting it, if the request is invalid."""
 
 
 class RequestObserver(Protocol):
     """Is notified that the client of a request has disconnected."""
 
     def client_disconnected(self, now_us: int) -> None:
-        """The client has disconnected, before or after its final answer."""
+        """Handle the client's disconnection, before or after its final answer."""
--- a/limerudder/core/client/responses.py
+++ b/limerudder/core/client/responses.py
@@ -1,15 +1,15 @@
-"""The line protocol's responses that the node itself gives to a client."""
+"""Responses of the line protocol that the node itself sends to clients."""
 
 from __future__ import annotations
 
-PONG = b"PONG\r\n"  #: to a PING
-BUSY = b"BUSY\r\n"  #: rejected
-ERROR = b"ERR\r\n"  #: failed, or not understood
-MOVE = b"MOVE\r\n"  #: to an established connection: connect again
+PONG = b"PONG\r\n"  #: Response to a PING
+BUSY = b"BUSY\r\n"  #: Response to a rejected request
+ERROR = b"ERR\r\n"  #: Response to a failed request or an invalid line
+MOVE = b"MOVE\r\n"  #: Sent on an established connection to make the client reconnect
 
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
 def format_busy(retry_after_us: int) -> bytes:
-    """Rejected; to be retried after this time, in whole milliseconds, if it is not 0."""
+    """Return a rejection with this retry delay, in whole milliseconds, or without one if it is 0."""
     return b"BUSY %d\r\n" % (retry_after_us // MICROSECONDS_PER_MILLISECOND) if retry_after_us else BUSY
--- a/limerudder/core/client/session.py
+++ b/limerudder/core/client/session.py
@@ -1,4 +1,4 @@
-"""The line protocol's client session: from the first line through the final answer to the end of proxying."""
+"""The client session of the line protocol, from the first line to the end of proxying."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from limerudder.core.transport import Transport
 from limerudder.core.upstream.attempt import LineAttempt
 
-FIRST_LINE_TIMEOUT_US = 2_500_000  #: for a complete first line; clients are owed an answer or a close in 3 s
-PING_IDLE_TIMEOUT_US = 30_000_000  #: for a client that was answered PONG to begin another line
+FIRST_LINE_TIMEOUT_US = 2_500_000  #: Timeout of a first line; clients expect an answer or a close within 3 s
+PING_IDLE_TIMEOUT_US = 30_000_000  #: Maximum time from a PONG to the start of the next line
 PING_LINE = b"PING"
 
 
 class LineSession(ClientConnection):
-    """The state machine of one client connection that speaks the line protocol."""
+    """The state machine of a client connection that uses the line protocol."""
 
     def __init__(self, handler: RequestHandler) -> None:
         super().__init__(handler.admission, handler.counters, handler.timer_wheel)
         self.first_line = FirstLineBuffer()
-        self.attempt: LineAttempt | None = None  # the one that serves this client
+        self.attempt: LineAttempt | None = None  # the attempt that serves this client
         self._handler = handler
         self._observer: RequestObserver | None = None
-        self._ping_idle = False  # a PING was answered, and no further line has begun
+        self._ping_idle = False  # a PING was answered, and no further line has started
 
     # called by the driver
 
     def connection_made(self, transport: Transport, now_us: int) -> None:
-        """A client has connected."""
+        """Handle a new client connection."""
         self.transport = transport
         if self._admission.admit(self, now_us):
             self._start_line_timeout(now_us)
@@ -44,7 +44,7 @@
             self._finish(responses.BUSY, now_us)
 
     def data_received(self, data: bytes, now_us: int) -> None:
-        """The client has sent data."""
+        """Handle data from the client."""
         if self._state is ClientState.PROXYING and self.attempt:
             self.attempt.send(data, now_us)
         elif self._state is ClientState.READING_LINE:
@@ -55,35 +55,35 @@
             self._discard(data)
 
     def eof_received(self, now_us: int) -> None:
-        """The client has ended its sending side."""
+        """Handle the end of the client's data."""
         if self._state is ClientState.PROXYING and self.attempt:
             self.attempt.client_ended(now_us)
         else:
             self._disconnect(now_us)
 
     def connection_lost(self, now_us: int) -> None:
-        """The connection broke."""
+        """Handle the loss of the connection."""
         if self._state is ClientState.PROXYING and self.attempt:
             self.attempt.client_reset()
         self._disconnect(now_us)
 
     def set_writing_paused(self, paused: bool) -> None:
-        """The client reads slowly: its upstream, or its own requests until it has one, are read no faster."""
+        """Apply backpressure from a slow client to its upstream, or to its own data until it has one."""
         if self.attempt and self.attempt.transport:
             self.attempt.transport.set_reading_paused(paused)
         elif self.transport and self._state in (ClientState.READING_LINE, ClientState.AWAITING_ANSWER):
-            # A disconnect is only noticed while the connection is read, so one that waits is always read.
+            # Disconnects are detected only while reading, so reading goes on while an answer is awaited.
             self.transport.set_reading_paused(paused and self._state is ClientState.READING_LINE)
 
     # called by the node
 
     def new_attempt(self, observer: AttemptObserver, timeout_us: int | None) -> LineAttempt:
-        """Return an attempt that sends the client's line, with the time the node waits for its answer."""
+        """Return an attempt that sends the client's line, with the node's timeout for the answer."""
         line = format_attempt_line(self.first_line.line, timeout_us)
         return LineAttempt(observer, line, self._handler.report_fields, self._handler.timer_wheel)
 
     def start_proxying(self, attempt: Attempt, now_us: int) -> None:
-        """Final answer: the upstream's own. From now on both sides' data is passed on."""
+        """Relay the upstream's final answer, and then data in both directions."""
         assert isinstance(attempt, LineAttempt)
         if self._state is not ClientState.AWAITING_ANSWER:
             return
@@ -92,22 +92,22 @@
         attempt.serve(self)
 
     def reject(self, retry_after_us: int, now_us: int) -> None:
-        """Final answer: rejected, to be retried after `retry_after_us` if that is not 0."""
+        """Send the final answer to a rejected request, with a retry delay if `retry_after_us` is not 0."""
         if self._state is ClientState.AWAITING_ANSWER:
             self._finish(responses.format_busy(retry_after_us), now_us)
 
     def fail(self, now_us: int) -> None:
-        """Final answer: failed."""
+        """Send the final answer to a failed request."""
         if self._state is ClientState.AWAITING_ANSWER:
             self._finish(responses.ERROR, now_us)
 
     def migrate(self, now_us: int) -> None:
-        """Ask a proxied client to connect again. It gets complete lines only, so MOVE never cuts one."""
+        """Send MOVE to a proxied client. Only complete lines are relayed, so MOVE never splits one."""
         if self._state is ClientState.PROXYING:
             self._finish(responses.MOVE, now_us)
 
     def check_disconnected(self, now_us: int) -> None:
-        """Notice a disconnect that is hidden behind data not read yet."""
+        """Detect a disconnect that is hidden behind unread data."""
         if self._state is not ClientState.AWAITING_ANSWER or not self.transport:
             return
         if self.transport.has_disconnected():
@@ -122,11 +122,11 @@
             self.transport.write(data)
 
     def upstream_ended(self, now_us: int) -> None:
-        """The upstream has ended its side: end this one."""
+        """Close this connection after the upstream has ended its side."""
         self._finish(b"", now_us)
 
     def upstream_reset(self) -> None:
-        """The upstream's connection broke: reset this one."""
+        """Reset this connection after the upstream's connection was lost."""
         self._reset()
 
     # the first line
@@ -164,8 +164,8 @@
             self._finish(responses.ERROR, now_us)
 
     def _start_line_timeout(self, now_us: int) -> None:
-        # The time runs from the connection's start or the line's first byte: a client that sends its line one
-        # byte at a time gains nothing.
+        # The timeout starts with the connection or with the first byte of the line, so that a client cannot
+        # extend it by sending its line one byte at a time.
         self._ping_idle = False
         self._timer.set(now_us + FIRST_LINE_TIMEOUT_US, self._time_out)
 
@@ -175,14 +175,14 @@
         else:
             self._end_without_request(CounterName.CLIENTS_TIMED_OUT, now_us)
 
-    # endings
+    # closing
 
     def _answer_error(self, counter: CounterName, now_us: int) -> None:
         self._counters.increment(counter)
         self._finish(responses.ERROR, now_us)
 
     def _reject_early_data(self, now_us: int) -> None:
-        # Data that follows a first line before its answer is neither kept nor passed on; it ends the request.
+        # Data received between a first line and its answer is discarded, and ends the request.
         observer = self._observer
         self._observer = None
         self._answer_error(EarlyDataError.counter, now_us)
