--- a/limerudder/core/requests/__init__.py
+++ b/limerudder/core/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A client's request from its first line to the end of its connection."""
+"""Requests and their connections, from acceptance to the end of the connection."""
--- a/limerudder/core/requests/attempt_runner.py
+++ b/limerudder/core/requests/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts at upstreams: their start, their timeouts, and what follows from what they report."""
+"""Attempts at upstreams: start, timeouts and the handling of their events."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from limerudder.policy.events import AttemptEnded, AttemptOutcome, ConnectionEstablished, ServerState
 
 _DEFAULT_CONNECT_TIMEOUT_US = 30_000_000
-_MAX_DURATION_US = (1 << 32) - 1  # of an attempt, as the policy's event holds it
+_MAX_DURATION_US = (1 << 32) - 1  # maximum duration that the policy's event can represent
 
 
 class AttemptRunner:
-    """Carries out the policy's decisions on attempts, within the rules that hold whatever it decides.
+    """Executes the policy's decisions on attempts, and enforces the rules that apply to every decision.
 
-    A request has one attempt at a time and no more than the settings allow, is not sent after its deadline or
-    its final answer, and is sent only to an upstream that is ready at the moment of the send.
+    A request has one attempt at a time and no more in total than the settings allow. It is not sent after its
+    deadline or its final answer, and only to an upstream that is ready when it is sent.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
     # actions of the policy
 
     def start(self, action: StartAttempt, now_us: int) -> None:
-        """Start an attempt, or report it as obsolete where the rules forbid it by now."""
+        """Start an attempt, or report it as obsolete if the rules no longer allow it."""
         connection = self._requests.by_number.get(action.request_id)
         if connection is None:
             return
@@ -74,12 +74,12 @@
         )
 
     def cancel(self, action: CancelAttempt, now_us: int) -> None:
-        """Give up the attempt that the policy names, unless its upstream serves the connection by now."""
+        """Cancel the attempt that the policy names, unless its connection is already established."""
         connection = self._requests.by_number.get(action.request_id)
         if connection is None or connection.attempt is None or connection.is_established:
             return
         if action.attempt == connection.attempts_started - 1:
-            self.give_up(connection, AttemptOutcome.CANCELLED, now_us)
+            self.abort(connection, AttemptOutcome.CANCELLED, now_us)
 
     def migrate(self, action: MigrateClient, now_us: int) -> None:
         """Migrate a client if its connection is established."""
@@ -88,17 +88,17 @@
             self.migrate_client(connection, now_us)
 
     def migrate_client(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Ask the client of an established connection to reconnect, and end the connection."""
+        """Make the client of an established connection reconnect, and end the connection."""
         self._counters.increment(CounterName.MIGRATIONS)
         connection.session.migrate(now_us)
-        self.give_up(connection, AttemptOutcome.CANCELLED, now_us)
+        self.abort(connection, AttemptOutcome.CANCELLED, now_us)
 
-    # dialling and giving up
+    # dialling and aborting
 
     def dial(
         self, connection: ProxiedConnection, upstream: Upstream, timeout_us: int | None, now_us: int
     ) -> None:
-        """Begin an attempt; it has `timeout_us` to be accepted by the upstream, where that is given."""
+        """Start an attempt; the upstream must accept it within `timeout_us`, if that is given."""
         self._rule_monitor.check(connection.attempt is None, Rule.ONE_ATTEMPT, connection.request.id)
         self._counters.increment(CounterName.ATTEMPTS)
         attempt = connection.session.new_attempt(connection, timeout_us)
@@ -118,40 +118,40 @@
 
     def _connect_timed_out(self, connection: ProxiedConnection, now_us: int) -> None:
         if connection.attempt and not connection.attempt.sent:
-            self.give_up(connection, AttemptOutcome.CONNECT_FAILED, now_us)
+            self.abort(connection, AttemptOutcome.CONNECT_FAILED, now_us)
 
     def _attempt_timed_out(self, connection: ProxiedConnection, now_us: int) -> None:
         if connection.attempt and not connection.is_established:
             sent = connection.attempt.sent
             outcome = AttemptOutcome.TIMEOUT if sent else AttemptOutcome.CONNECT_FAILED
-            self.give_up(connection, outcome, now_us)
+            self.abort(connection, outcome, now_us)
 
-    def give_up(self, connection: ProxiedConnection, outcome: AttemptOutcome, now_us: int) -> None:
-        """Close the attempt in progress, if there is one, and then handle its end."""
+    def abort(self, connection: ProxiedConnection, outcome: AttemptOutcome, now_us: int) -> None:
+        """Close the attempt in progress, if any, and handle its end."""
         if connection.attempt:
             connection.attempt.close()
             self.attempt_ended(connection, outcome, (), now_us)
 
     def give_up_unsent_to_unready(self, now_us: int) -> None:
-        """Give up the attempts that are still being dialled to upstreams that are not ready any more.
+        """Abort the attempts that are still being dialled to upstreams that are no longer ready.
 
-        Else their requests could be written to an upstream after the grace period in which it drains.
+        Otherwise their requests could be written to a draining upstream after its grace period.
         """
         dialling = [c for c in self._requests.values() if c.attempt and not c.attempt.sent]
         for connection in dialling:
             if connection.upstream and connection.upstream.state != ServerState.READY:
-                self.give_up(connection, AttemptOutcome.CONNECT_FAILED, now_us)
+                self.abort(connection, AttemptOutcome.CONNECT_FAILED, now_us)
 
-    # reports of attempts
+    # events of attempts
 
     def attempt_ready(self, connection: ProxiedConnection, now_us: int) -> bool:
-        """Return whether the request may be written to the upstream just connected; else close the attempt.
+        """Return whether the request may be written to the connected upstream; if not, abort the attempt.
 
-        All that may have changed since the dial began is checked here, at the moment of the send.
+        The conditions may have changed during the dial, so they are checked immediately before the write.
         """
         if self._guard.may_write(connection, now_us):
             return True
-        self.give_up(connection, AttemptOutcome.CONNECT_FAILED, now_us)
+        self.abort(connection, AttemptOutcome.CONNECT_FAILED, now_us)
         return False
 
     def attempt_sent(self, connection: ProxiedConnection, now_us: int) -> None:
@@ -164,13 +164,13 @@
             self._traffic_log.request_sent(request_id, upstream.name, upstream.ready_since_us, now_us)
 
     def attempt_established(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Relay between client and upstream from now on, unless the client has gone meanwhile."""
+        """Start to relay between client and upstream, unless the client has disconnected."""
         attempt = connection.attempt
         upstream = connection.upstream
         if attempt is None or upstream is None:
             return
         if connection.state is not ConnectionState.WAITING:
-            self.give_up(connection, AttemptOutcome.CANCELLED, now_us)
+            self.abort(connection, AttemptOutcome.CANCELLED, now_us)
             return
         connection.cancel_attempt_timers()
         connection.establish()
@@ -202,10 +202,10 @@
     def report_outcome(
         self, connection: ProxiedConnection, outcome: AttemptOutcome, report: tuple[float, ...], now_us: int
     ) -> None:
-        """Tell the policy how the last attempt ended, if there was one."""
+        """Report the outcome of the last attempt, if any, to the policy."""
         if connection.upstream is None:
             return
-        used_report = report if self._settings.report_via == "answers" else ()
+        load_report = report if self._settings.report_via == "answers" else ()
         duration_us = min(now_us - connection.attempt_started_us, _MAX_DURATION_US)
         request_id = connection.request.id
         self._traffic_log.attempt_ended(request_id, connection.upstream.name, outcome, duration_us)
@@ -217,6 +217,6 @@
             outcome,
             duration_us,
             has_final_answer,
-            used_report,
+            load_report,
         )
         self._dispatch(event, now_us)
--- a/limerudder/core/requests/connection_sampler.py
+++ b/limerudder/core/requests/connection_sampler.py
@@ -1,4 +1,4 @@
-"""Samples of established connections for the policy: their load, and how long their messages take."""
+"""Samples of established connections for the policy: load and message latency."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from limerudder.policy.events import LatencySample, LoadSample
 from limerudder.policy.settings import Settings
 
-_SLOW_SAMPLE_INTERVAL_US = 1_000_000  #: between two slow samples of one upstream
+_SLOW_SAMPLE_INTERVAL_US = 1_000_000  #: Minimum interval between two slow samples of one upstream
 _MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class ConnectionSampler:
-    """Gives the policy load samples, and latency samples while an upstream's messages take long."""
+    """Sends the policy load samples, and latency samples while an upstream is slow."""
 
     def __init__(self, services: NodeServices) -> None:
         self._counters = services.counters
@@ -22,14 +22,14 @@
         self._samples_latency = bool(services.settings.reports_latency and self._slow_latency_us)
 
     def load_reported(self, connection: ProxiedConnection, load: float, now_us: int) -> None:
-        """Give the policy the load that an upstream reported for an established connection."""
+        """Send the policy the load that an upstream reported for an established connection."""
         upstream = connection.upstream
         if connection.is_established and upstream:
             attempt_number = connection.attempts_started - 1
             self._dispatch(LoadSample(connection.number, upstream.number, load, attempt_number), now_us)
 
     def latency_measured(self, connection: ProxiedConnection, latency_us: int, now_us: int) -> None:
-        """Give the policy a slow latency at most once a second, and the first fast one after it."""
+        """Send the policy a slow latency at most once per second, and the first fast one after it."""
         upstream = connection.upstream
         if upstream is None or not self._samples_latency:
             return
@@ -50,6 +50,6 @@
 
 
 def slow_latency_us(settings: Settings) -> int:
-    """Return the latency above which a message is slow: a third of the strictest objective, 0 without one."""
+    """Return the threshold of slow messages: a third of the strictest objective, or 0 if there is none."""
     objectives_us = [c.message_objective_us for c in settings.classes if c.message_objective_us]
     return min(objectives_us, default=0) // 3
--- a/limerudder/core/requests/pinned_reconnect.py
+++ b/limerudder/core/requests/pinned_reconnect.py
@@ -1,4 +1,4 @@
-"""Reconnecting connections that were established before the node started to the upstream that holds them."""
+"""Reconnects connections that were established before the node started to the same upstreams."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from limerudder.core.upstream.registry import UpstreamRegistry
 from limerudder.policy.events import AttemptOutcome, ExistingConnection, ServerState
 
-RECONNECT_TIMEOUT_US = 30_000_000  #: after which a connection that could not be reconnected fails
+RECONNECT_TIMEOUT_US = 30_000_000  #: Time after which a connection that could not be reconnected fails
 _RETRY_INTERVAL_US = 250_000
 
 
 class PinnedReconnector:
-    """Dials the one upstream of a pinned connection again and again, until it accepts or time is up."""
+    """Dials the upstream of a pinned connection repeatedly until it accepts or a timeout expires."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
     def _retry_later(
         self, connection: ProxiedConnection, pinned_upstream: str, outcome: AttemptOutcome, now_us: int
     ) -> None:
-        """Reconnect after a pause; fail the request where that would be too late or the node shuts down."""
+        """Reconnect after a delay; fail the request if that would be too late or the node shuts down."""
         retry_at_us = now_us + _RETRY_INTERVAL_US
         if retry_at_us < connection.deadline_us and not self._serving_state.shutdown_deadline_us:
             self._timer_wheel.schedule(retry_at_us, partial(self._reconnect, connection, pinned_upstream))
--- a/limerudder/core/requests/proxied_connection.py
+++ b/limerudder/core/requests/proxied_connection.py
@@ -1,4 +1,4 @@
-"""The record of one request and its connection, which its session and its attempt report to."""
+"""The record of a request and its connection; receives the events of its session and attempts."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class ConnectionState(Enum):
-    """How far a request has come; it never returns to an earlier state."""
+    """The progress of a request; it never returns to an earlier state."""
 
-    WAITING = auto()  # for its final answer
-    ESTABLISHED = auto()  # an upstream serves it
-    FINISHED = auto()  # it has had its final answer, or its client has gone; its attempt may still be closing
+    WAITING = auto()  # waiting for its final answer
+    ESTABLISHED = auto()  # served by an upstream
+    FINISHED = auto()  # answered, or its client has disconnected; its attempt may still be closing
 
 
 class ConnectionEventHandlers(NamedTuple):
-    """The parts of the node that handle what sessions and attempts report."""
+    """The components of the node that handle the events of sessions and attempts."""
 
     lifecycle: RequestLifecycle
     attempts: AttemptRunner
@@ -49,19 +49,19 @@
     ) -> None:
         self.number = description.request_id
         self.class_index = description.traffic_class
-        self.description = description  # the request as the policy receives it
+        self.description = description  # the request in the form that the policy receives
         self.session = session
         self.request = request
         self.deadline_us = deadline_us
         self.state = ConnectionState.WAITING
         self.overdue_timer: Timer | None = None
-        self.retry_pinned: Callable[[AttemptOutcome, int], None] | None = None  # for a pinned connection
+        self.retry_pinned: Callable[[AttemptOutcome, int], None] | None = None  # set for pinned connections
         self.attempts_started = 0
-        self.attempt: Attempt | None = None  # the one in progress
+        self.attempt: Attempt | None = None  # the attempt in progress
         self.attempt_started_us = 0
-        self.write_allowed_us: int | None = None  # when the guard consented to a write that is not complete
+        self.write_allowed_us: int | None = None  # time at which the guard allowed the write in progress
         self.attempt_timers: list[Timer] = []
-        self.upstream: Upstream | None = None  # of the last attempt
+        self.upstream: Upstream | None = None  # the upstream of the last attempt
         self._handlers = handlers
 
     @property
@@ -71,16 +71,16 @@
 
     @property
     def has_final_answer(self) -> bool:
-        """Whether no answer is owed any more."""
+        """Whether the request has been answered or its client has disconnected."""
         return self.state is not ConnectionState.WAITING
 
     def establish(self) -> None:
-        """An upstream serves the connection from now on."""
+        """Record that an upstream serves the connection."""
         self.state = ConnectionState.ESTABLISHED
         self._cancel_overdue_timer()
 
     def finish(self) -> None:
-        """No answer is owed any more, and no upstream serves the connection."""
+        """Record that the request needs no answer and no upstream serves the connection."""
         self.state = ConnectionState.FINISHED
         self._cancel_overdue_timer()
 
@@ -95,7 +95,7 @@
         self.attempt_timers = []
 
     def client_disconnected(self, now_us: int) -> None:
-        """The client has gone."""
+        """Handle the client's disconnection."""
         self._handlers.lifecycle.client_disconnected(self, now_us)
 
     def attempt_ready(self, now_us: int) -> bool:
@@ -103,21 +103,21 @@
         return self._handlers.attempts.attempt_ready(self, now_us)
 
     def attempt_sent(self, now_us: int) -> None:
-        """The last byte of the request is written."""
+        """Handle the end of the write of the request."""
         self._handlers.attempts.attempt_sent(self, now_us)
 
     def attempt_established(self, now_us: int) -> None:
-        """The upstream has accepted the connection."""
+        """Handle the upstream's acceptance of the connection."""
         self._handlers.attempts.attempt_established(self, now_us)
 
     def attempt_ended(self, outcome: AttemptOutcome, report: tuple[float, ...], now_us: int) -> None:
-        """The attempt has ended and its connection is closed."""
+        """Handle the end of the attempt; its connection is closed."""
         self._handlers.attempts.attempt_ended(self, outcome, report, now_us)
 
     def attempt_load_reported(self, load: float, now_us: int) -> None:
-        """The upstream has reported the load of the connection."""
+        """Handle a load report of the upstream for the connection."""
         self._handlers.sampler.load_reported(self, load, now_us)
 
     def attempt_latency_measured(self, latency_us: int, now_us: int) -> None:
-        """The upstream has answered a message after this time."""
+        """Handle the latency of the upstream's answer to a message."""
         self._handlers.sampler.latency_measured(self, latency_us, now_us)
--- a/limerudder/core/requests/request_lifecycle.py
+++ b/limerudder/core/requests/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's way from its acceptance to its final answer, or to the disconnection of its client."""
+"""The lifecycle of a request, from its acceptance to its final answer or its client's disconnection."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RequestLifecycle:
-    """Accepts requests and sees that each has exactly one final answer, in time."""
+    """Accepts requests and ensures that each gets exactly one final answer in time."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         names: Names,
         services: NodeServices,
     ) -> None:
-        self.on_request_accepted: list[Callable[[int], None]] = []  # each is given the request's id
+        self.on_request_accepted: list[Callable[[int], None]] = []  # called with the request's id
         self._requests = requests
         self._attempts = attempts
         self._answers = answers
@@ -63,12 +63,12 @@
     def accept(
         self, session: ClientSession, request: ConnectRequest, now_us: int
     ) -> ProxiedConnection | None:
-        """Accept a request, or give it its final answer at once where there is no capacity for it.
+        """Accept a request, or reject it immediately if there is no capacity for it.
 
-        Returns None where the request is invalid: it has unknown names, or the id of another request.
+        Returns None if the request is invalid: it has unknown names, or the id of another request.
         """
         class_index = self._class_indexes.get(request.class_name)
-        if class_index is None or not self._is_known_tenant(request.tenant):
+        if class_index is None or not self._is_valid_tenant(request.tenant):
             self._counters.increment(CounterName.REQUESTS_UNKNOWN_NAME)
             return None
         if self._requests.is_id_used(request.id):
@@ -84,15 +84,15 @@
         self._requests.add(connection)
         for notify in self.on_request_accepted:
             notify(request.id)
-        self._admission.free_descriptors(now_us)  # for the descriptor of its attempt
+        self._admission.free_descriptors(now_us)  # the attempt needs a descriptor
         self._start(connection, now_us)
         return connection
 
-    def _is_known_tenant(self, tenant: str) -> bool:
+    def _is_valid_tenant(self, tenant: str) -> bool:
         return not tenant or not self._tenant_indexes or tenant in self._tenant_indexes
 
     def _has_capacity(self) -> bool:
-        """Return whether there are two descriptors, for client and upstream, for one request more."""
+        """Return whether two descriptors, for client and upstream, are available for another request."""
         return 2 * len(self._requests) + 2 <= self._admission.capacity
 
     def _new_connection(
@@ -126,50 +126,50 @@
             return
         overdue_at_us = connection.deadline_us + self._settings.answer_slack_us
         connection.overdue_timer = self._timer_wheel.schedule(
-            overdue_at_us, partial(self._overdue, connection)
+            overdue_at_us, partial(self._fail_overdue, connection)
         )
         self._dispatch(connection.description, now_us)
 
-    def _overdue(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Answer a request that the policy has left without its answer until the time was nearly up."""
+    def _fail_overdue(self, connection: ProxiedConnection, now_us: int) -> None:
+        """Fail a request that the policy has not answered in time."""
         if connection.state is ConnectionState.WAITING:
             self._counters.increment(CounterName.REQUESTS_OVERDUE)
             text = "node: the policy did not answer a request in time; it was answered as failed"
             self._log(LogKind.REQUEST_OVERDUE, text)
-            self._fail_and_tell_policy(connection, now_us)
+            self._fail_and_notify_policy(connection, now_us)
 
-    def _fail_and_tell_policy(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Fail a request, and have the policy forget it as one whose client has gone."""
+    def _fail_and_notify_policy(self, connection: ProxiedConnection, now_us: int) -> None:
+        """Fail a request, and report it to the policy as if its client had disconnected."""
         self._answers.fail(connection, now_us)
         self._dispatch(ClientDisconnected(connection.number), now_us)
 
     # actions of the policy
 
     def reject(self, action: RejectRequest, now_us: int) -> None:
-        """Reject a request that waits for its answer."""
+        """Reject a request that is waiting for its answer."""
         connection = self._requests.by_number.get(action.request_id)
         if connection and connection.state is ConnectionState.WAITING:
             retry_after_us = min(action.retry_after_us, self._settings.max_retry_after_us)
             self._answers.reject(connection, retry_after_us, now_us)
 
     def fail(self, action: FailRequest, now_us: int) -> None:
-        """Fail a request that waits for its answer."""
+        """Fail a request that is waiting for its answer."""
         connection = self._requests.by_number.get(action.request_id)
         if connection and connection.state is ConnectionState.WAITING:
             self._answers.fail(connection, now_us)
 
     def policy_failed(self, request_number: int, now_us: int) -> None:
-        """Fail the request whose event the policy could not handle, if it waits for its answer."""
+        """Fail a request whose event the policy could not handle, if it is waiting for its answer."""
         connection = self._requests.by_number.get(request_number)
         if connection and connection.state is ConnectionState.WAITING:
-            self._fail_and_tell_policy(connection, now_us)
+            self._fail_and_notify_policy(connection, now_us)
 
-    # from the client's session
+    # events of the client's session
 
     def client_disconnected(self, connection: ProxiedConnection, now_us: int) -> None:
-        """End a request or a connection whose client has gone."""
+        """End the request or connection of a client that has disconnected."""
         if connection.is_established:
-            self._attempts.give_up(connection, AttemptOutcome.CANCELLED, now_us)
+            self._attempts.abort(connection, AttemptOutcome.CANCELLED, now_us)
         elif connection.state is ConnectionState.WAITING:
             self._counters.increment(CounterName.CLIENTS_DISCONNECTED)
             connection.finish()
@@ -179,14 +179,14 @@
                 self._abandon(connection, now_us)
 
     def _abandon(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Leave it to the policy whether the attempt in progress is cancelled."""
+        """End a request; the policy decides whether to cancel the attempt in progress."""
         self._dispatch(ClientDisconnected(connection.number), now_us)
         if connection.attempt is None:
             self._requests.remove(connection)
 
     def _abandon_pinned(self, connection: ProxiedConnection, now_us: int) -> None:
         if connection.attempt:
-            self._attempts.give_up(connection, AttemptOutcome.CANCELLED, now_us)
+            self._attempts.abort(connection, AttemptOutcome.CANCELLED, now_us)
         else:
             self._requests.remove(connection)
             self._attempts.report_outcome(connection, AttemptOutcome.CANCELLED, (), now_us)
--- a/limerudder/core/requests/request_table.py
+++ b/limerudder/core/requests/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that a node holds, and the ids that new requests must not use."""
+"""The open requests of a node, and the ids that new requests must not use."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from limerudder.core.requests.proxied_connection import ProxiedConnection
 
-MAX_RECENT_IDS = 4096  #: a late copy of a request is rejected as long as its id is among so many
+MAX_RECENT_IDS = 4096  #: Number of recent ids that are kept to reject late copies of requests
 
 
 class RequestTable:
     """Requests by number, the ids in use, and the ids that were used recently.
 
-    Clients take a new id for every request. A second request with the id of an open or recent one is a copy,
-    which would endanger the first one and the upstreams' own record of ids.
+    Clients use a new id for every request. A second request with the id of an open or recent one is a copy,
+    which would interfere with the first one and with the upstreams' own records of ids.
     """
 
     def __init__(self) -> None:
         self.by_number: dict[int, ProxiedConnection] = {}
         self.open_ids: set[int] = set()
-        self.recent_ids: dict[int, None] = {}  # of ended requests and of another process, oldest first
+        self.recent_ids: dict[int, None] = {}  # ids of ended requests and of another process, oldest first
         self._next_number = 1
 
     def __len__(self) -> int:
@@ -30,7 +30,7 @@
         return self.by_number.values()
 
     def next_number(self) -> int:
-        """Return a number that no request has had."""
+        """Return a new, unique request number."""
         number = self._next_number
         self._next_number += 1
         return number
@@ -45,13 +45,13 @@
         self.open_ids.add(connection.request.id)
 
     def remove(self, connection: ProxiedConnection) -> None:
-        """Forget a request, and remember its id as a recent one; does nothing if it is not in the table."""
+        """Remove a request and record its id as recent; does nothing if it is not in the table."""
         if self.by_number.pop(connection.number, None):
             self.open_ids.discard(connection.request.id)
             self.add_recent_id(connection.request.id)
 
     def add_recent_id(self, request_id: int) -> None:
-        """Have requests with this id rejected, until MAX_RECENT_IDS further ones have been added."""
+        """Record an id to be rejected until MAX_RECENT_IDS further ones have been added."""
         self.recent_ids[request_id] = None
         if len(self.recent_ids) > MAX_RECENT_IDS:
             del self.recent_ids[next(iter(self.recent_ids))]
--- a/limerudder/core/requests/send_guard.py
+++ b/limerudder/core/requests/send_guard.py
@@ -1,7 +1,8 @@
-"""The guard that every request passes before it is dialled, and again in the moment before it is written.
+"""Checks every request before its upstream is dialled, and again immediately before it is written.
 
-A dial takes time: meanwhile a client may leave, a host may drain or restart, a deadline may pass. So whether
-a request may go out is decided when it does, in one place for first attempts, retries and pinned reconnects.
+During a dial the client may disconnect, the upstream may drain or restart, or the deadline may pass. So
+whether to send is decided just before the write, in one place for first attempts, retries and pinned
+reconnects.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from limerudder.policy.events import ServerState
 from limerudder.policy.settings import Settings
 
-#: Asks the policy whether a request may be written to a server: request, server, time in microseconds.
+#: Whether the policy allows a request to be written; takes request, server and time in microseconds.
 ConfirmSend = Callable[[int, int, int], bool]
 
-#: Between the guard's consent and the last byte: what a process may be held up, and a write that waits.
+#: Maximum time from the guard's approval to the last byte; covers a stalled process and a blocked write.
 MAX_WRITE_US = 150_000
 
 
 class SendGuard:
-    """Allows or refuses sends, and checks what was sent."""
+    """Allows or refuses sends, and checks completed writes against the rules."""
 
     def __init__(self, settings: Settings, confirm_send: ConfirmSend, monitor: RuleMonitor) -> None:
         self._settings = settings
@@ -30,7 +31,7 @@
         self._monitor = monitor
 
     def may_start(self, connection: ProxiedConnection, upstream: Upstream | None, timeout_us: int) -> bool:
-        """Whether the policy's attempt may be dialled, which has this time."""
+        """Return whether the policy's attempt may be dialled with this timeout."""
         return (
             connection.state is ConnectionState.WAITING
             and connection.attempt is None
@@ -41,7 +42,7 @@
         )
 
     def may_write(self, connection: ProxiedConnection, now_us: int) -> bool:
-        """Whether the request may be written to the upstream that it has just been connected to."""
+        """Return whether the request may be written to the upstream that was just connected."""
         connection.session.check_disconnected(now_us)
         upstream = connection.upstream
         allowed = (
@@ -56,7 +57,7 @@
         return allowed
 
     def check_written(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Check a request whose last byte was just written against the rules."""
+        """Check a request whose last byte has just been written against the rules."""
         check = self._monitor.check
         request_id = connection.request.id
         allowed_us = connection.write_allowed_us
