--- a/limerudder/core/client/admission.py
+++ b/limerudder/core/client/admission.py
@@ -28,7 +28,7 @@
         self.reserved = reserved  # reserve for discovery, health checks, peers and closing connections
         self.attempts = attempts  # requests that have, or may need, an upstream connection
         self.other_process_descriptors = 0  # descriptors used by this node's other process in a hot restart
-        self.listed_hosts = 0  # listed upstreams, each of which may have one health check connection
+        self.listed_hosts = 0  # number of listed upstreams; each may have one health check connection
         self.connections: set[AdmittedConnection] = set()
         self.idle: dict[AdmittedConnection, None] = {}  # idle connections, longest idle first
         self.closing: dict[AdmittedConnection, None] = {}  # closing connections, oldest first
--- a/tests/test_client_session.py
+++ b/tests/test_client_session.py
@@ -1,4 +1,4 @@
-"""The client's session: first lines, what follows them, and how a connection ends."""
+"""Client sessions: first lines, data after them, and the ends of connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     b"PING\r\n" + LINE.encode() + b"\r\n": CounterName.REQUESTS_PIPELINED_EARLY,
     (LINE.encode() + b"\r\n") * 300: CounterName.REQUESTS_PIPELINED_EARLY,
 }
-# a PING alone is valid: only what follows it in the same read is an error
+# a PING alone is valid; only data after it in the same read is an error
 CUTS = [
     (data, chunk_count)
     for data in MALFORMED_DATA
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("data", "chunk_count"), CUTS, ids=lambda value: str(value)[:20])
-def test_a_malformed_first_line_is_an_error_is_counted_and_leaves_nothing(
+def test_a_malformed_first_line_is_rejected_and_counted_and_leaves_no_state(
     tmp_path: Path, data: bytes, chunk_count: int
 ) -> None:
     testbed = node_testbed(tmp_path)
@@ -51,28 +51,26 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"OPEN ", b"PING\r\nOPEN"])
-def test_a_first_line_that_does_not_come_is_waited_for_two_and_a_half_seconds(
-    tmp_path: Path, sent: bytes
-) -> None:
+def test_an_incomplete_first_line_times_out_after_two_and_a_half_seconds(tmp_path: Path, sent: bytes) -> None:
     testbed = node_testbed(tmp_path)
     session, transport = testbed.connect()
-    for start in range(len(sent)):  # sending slowly gains no time
+    for start in range(len(sent)):  # sending slowly does not extend the timeout
         session.data_received(sent[start : start + 1], testbed.now)
         testbed.run(100_000)
     first_line_bytes = len(sent.removeprefix(b"PING\r\n"))
     testbed.run(2_500_000 - first_line_bytes * 100_000)
     testbed.run(5000)
-    # a first line that crosses this end has its final answer: BUSY, if none has begun
+    # a client that has not started a line gets BUSY, which also answers a line in transit
     assert transport.sent.removeprefix(b"PONG\r\n") == (b"ERR\r\n" if sent else b"BUSY\r\n")
     assert transport.half_closed and not transport.closed
     if not sent:
         session.data_received(LINE.encode() + b"\r\n", testbed.now)
-        assert not testbed.node.requests and not testbed.attempts(), "read after the end, and never forwarded"
+        assert not testbed.node.requests and not testbed.attempts(), "nothing is forwarded after the end"
     testbed.run(SECOND + 5000)
     assert transport.closed and not testbed.node.admission.connections
 
 
-def test_a_first_line_that_comes_slowly_is_served(tmp_path: Path) -> None:
+def test_a_slowly_sent_first_line_is_served(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     session, transport = testbed.connect()
     text = LINE.encode() + b"\r\n"
@@ -83,7 +81,7 @@
     assert attempt.accept(testbed.now).startswith(LINE.partition("d=")[0]) and not transport.sent
 
 
-def test_a_client_that_keeps_sending_after_its_final_answer_is_read_no_further(tmp_path: Path) -> None:
+def test_reading_stops_for_a_client_that_keeps_sending_after_its_final_answer(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     session, transport = testbed.connect()
     for _ in range(6):
@@ -94,7 +92,7 @@
     assert transport.closed
 
 
-def test_a_client_that_pings_and_does_not_read_is_not_read_either(tmp_path: Path) -> None:
+def test_reading_pauses_for_a_pinging_client_that_does_not_read(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     session, transport = testbed.send_request("PING")
     for paused in (True, False):
@@ -103,7 +101,7 @@
 
 
 def test_a_client_that_waits_is_read_on_and_seen_to_disconnect(tmp_path: Path) -> None:
-    """Its PONGs were not read in time, and reading it had stopped; its first line came all the same."""
+    """Reading is paused, as the client has not read its PONGs, but its first line arrives nevertheless."""
     testbed = node_testbed(tmp_path)
     session, transport = testbed.send_request("PING")
     session.set_writing_paused(True)
@@ -111,14 +109,14 @@
     session.set_writing_paused(True)
     assert not transport.reading_paused
     (attempt,) = testbed.attempts()
-    transport.peer_disconnected = True  # its FIN has arrived, behind bytes that the event loop has not read
+    transport.peer_disconnected = True  # its FIN has arrived after data that is still unread
     assert attempt.accept(testbed.now) == "" and attempt.closed and transport.closed
     assert not testbed.node.requests and testbed.node.counters[CounterName.CLIENTS_DISCONNECTED_UNREAD] == 1
     testbed.run(SECOND)
-    assert not testbed.attempts(), "and never forwarded"
+    assert not testbed.attempts(), "the request is not forwarded"
 
 
-def test_a_connection_that_only_pings_is_kept_while_it_does(tmp_path: Path) -> None:
+def test_a_connection_that_only_pings_stays_open_while_it_pings(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     session, transport = testbed.send_request("PING")
     testbed.run(20 * SECOND)
--- a/tests/test_connection_sampler.py
+++ b/tests/test_connection_sampler.py
@@ -1,4 +1,4 @@
-"""Latency samples for the policy."""
+"""Latency samples that are sent to the policy."""
 
 from __future__ import annotations
 
--- a/tests/test_open_line.py
+++ b/tests/test_open_line.py
@@ -1,4 +1,4 @@
-"""The client's first line, as it is parsed and as it is forwarded."""
+"""Parsing and forwarding of a client's first line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from limerudder.core.client.open_line import MalformedLineError, format_attempt_line, parse_open_line
 
 
-def test_a_first_line_is_forwarded_unchanged_but_for_d() -> None:
+def test_a_first_line_is_forwarded_unchanged_except_for_d() -> None:
     request = parse_open_line((LINE + ",r=1,again=1,h=12,x=y").encode())
     assert (request.class_name, request.tenant, request.key, request.time_left_us) == (
         "chat",
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -1,4 +1,4 @@
-"""Race conditions: events that cross each other, forced over real loopback sockets, one scenario each.
+"""Race conditions between events, reproduced over real loopback sockets, one scenario each.
 
 docs/design/race-conditions.md has the table of states and events.
 """
@@ -26,14 +26,14 @@
 
 
 def quick_settings(deadline_us: int = 800_000, **caps: Any) -> dict[str, Any]:
-    """Settings under which a graceful shutdown takes little time."""
+    """Return settings with short deadlines, so that a graceful shutdown is quick."""
     quick = settings(**caps)
     quick["classes"][0] |= {"aimUs": deadline_us // 8, "deadlineUs": deadline_us}
     return quick
 
 
 class DelayedDials:
-    """The event loop as dials see it: hosts accept at once, the node learns of it when `gate` is set."""
+    """An event loop for dials: hosts accept immediately, but dials complete only when `gate` is set."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.gate = asyncio.Event()
@@ -57,7 +57,7 @@
 
 
 def record_sessions(patch: pytest.MonkeyPatch) -> list[LineSession]:
-    """The sessions of clients that connect from now on."""
+    """Return a list that the sessions of newly connected clients are added to."""
     sessions = list[LineSession]()
     original_connection_made = LineSession.connection_made
 
@@ -75,7 +75,7 @@
 async def an_idle_client_gets_busy_before_its_connection_ends(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Its first line crosses the end: BUSY is its final answer; the line is neither read nor forwarded."""
+    """BUSY is also the final answer to a first line in transit, which is neither read nor forwarded."""
     patch.setattr("limerudder.core.client.session.PING_IDLE_TIMEOUT_US", 50_000)
     async with testbed.running_node():
         client = await testbed.connect()
@@ -84,14 +84,14 @@
         client.send_lines(testbed.request_line())
         assert await client.read_line() == ""
         patch.undo()
-        await testbed.establish_connection()  # the only connection that its host has
+        await testbed.establish_connection()  # the only connection to its host
         assert testbed.upstream.connections.empty()
 
 
 async def a_graceful_shutdown_evicts_idle_clients(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """They would stay idle until the process ends, and a request sent then would be reset."""
+    """Otherwise they would stay idle until the process exits, and a request sent then would be reset."""
     async with testbed.running_node(settings=quick_settings()) as node:
         client = await testbed.connect()
         silent = await testbed.connect()
@@ -100,7 +100,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         assert [await client.read_line(), await client.read_line()] == ["BUSY", ""]
         assert [await silent.read_line(), await silent.read_line()] == ["BUSY", ""]
-        assert not node.done(), "answered while the process is there to receive what crosses"
+        assert not node.done(), "answered while the process can still receive data in transit"
         client.send_lines(testbed.request_line())
         await node
     assert testbed.upstream.connections.empty()
@@ -132,7 +132,7 @@
 
 
 async def small_writes_are_not_delayed(testbed: LoopbackTestbed, patch: pytest.MonkeyPatch) -> None:
-    """Data that the system delays is lost in a close with unread data."""
+    """Data that the system has delayed is lost when a socket with unread data is closed."""
     no_delay = list[int]()
     original_connection_made = TcpConnection.connection_made
 
@@ -162,7 +162,7 @@
             client.send_lines(testbed.request_line())
             upstream = await testbed.upstream.accept()
             client.writer.write_eof()  # a half-close counts as a disconnect
-            assert await client.read_line() == "", "the node has seen it"
+            assert await client.read_line() == "", "the node has seen the disconnect"
             dials.gate.set()
             assert await upstream.read_to_end() == b""
         patch.undo()
@@ -179,7 +179,7 @@
         upstream = await testbed.upstream.accept()
         transport = sessions[-1].transport
         assert isinstance(transport, TcpConnection) and not transport.has_disconnected()
-        transport.set_reading_paused(True)  # as if the event loop had not come to it yet
+        transport.set_reading_paused(True)  # simulates data that the event loop has not read yet
         client.send_lines("M 1")
         client.writer.close()
         while not transport.has_disconnected():
@@ -197,7 +197,7 @@
         clients = [await testbed.connect() for _ in range(client_count)]
         for client in clients:
             client.send_lines(testbed.request_line())
-        # so many attempts are in progress there at a time
+        # four attempts at a time are in progress at the host
         upstreams = [await testbed.upstream.accept() for _ in range(4)]
         for client in clients:
             client.writer.close()
@@ -233,7 +233,7 @@
 
 @pytest.mark.parametrize("ending", ["reset", "end"])
 def test_an_incomplete_answer_is_retried_once_elsewhere(ending: str, tmp_path: Path) -> None:
-    """`UP` without a line end, then nothing: it may have run; a safe one is retried once elsewhere."""
+    """After `UP` without a line end the request may have run; a safe request is retried once elsewhere."""
 
     async def scenario(testbed: LoopbackTestbed, patch: pytest.MonkeyPatch) -> None:
         address = await testbed.upstream.start()
@@ -257,7 +257,7 @@
 
 
 async def a_second_answer_is_dropped(testbed: LoopbackTestbed, patch: pytest.MonkeyPatch) -> None:
-    """ERR, and some milliseconds later UP: the client gets exactly one answer."""
+    """The host sends ERR and, some milliseconds later, UP; the client gets exactly one answer."""
     async with testbed.running_node(settings=quick_settings(tryLimit=1)):
         client = await testbed.connect()
         client.send_lines(testbed.request_line())
@@ -279,15 +279,15 @@
         upstream = await testbed.upstream.accept()
         assert (await upstream.read_line()).startswith("OPEN")
 
-        async def drip() -> None:
+        async def send_slowly() -> None:
             while True:
                 upstream.writer.write(b"U")
                 await asyncio.sleep(0.01)
 
-        dripping = asyncio.create_task(drip())
+        slow_sending = asyncio.create_task(send_slowly())
         assert await client.read_line() in ("BUSY", "ERR")
         assert await client.read_line() == ""
-        dripping.cancel()
+        slow_sending.cancel()
 
 
 # signals
@@ -296,7 +296,7 @@
 async def a_shutdown_with_hanging_hosts_and_dials_answers_every_client(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """SIGTERM comes twice; one client's host has the request and hangs, another's is being dialled."""
+    """SIGTERM arrives twice; one client's host has the request and hangs, another's is being dialled."""
     dials = DelayedDials(patch)
     dials.gate.set()
     async with testbed.running_node(settings=quick_settings(dialTimeoutUs=5 * SECOND)) as node:
@@ -333,8 +333,8 @@
         new_watch = await new_discovery.accept()
         assert "after=0" in await new_watch.read_line()
         old_watch.send_lines(drained[40:])
-        assert await old_watch.read_to_end() != b"", "the rest of the request, and the end"
-        # the previous list is still in effect: the old service's partial one does not count
+        assert await old_watch.read_to_end() != b"", "the rest of the request, then the end of the connection"
+        # the previous list is still active; the partial one from the old service is discarded
         await testbed.establish_connection()
 
 
@@ -344,7 +344,7 @@
 async def a_flood_from_a_client_that_disconnects_is_bounded(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Its host does not read. What it sends is buffered within bounds; both sides are closed in the end."""
+    """Its host does not read: the amount of buffered data is bounded, and both sides are finally closed."""
     patch.setattr("limerudder.core.upstream.attempt.MESSAGE_TIMEOUT_US", 400_000)
     sessions = record_sessions(patch)
     message_count = 5000
@@ -355,10 +355,10 @@
         transport = attempt.transport
         assert isinstance(transport, TcpConnection) and transport.transport
         upstream.reader._transport.pause_reading()  # type: ignore[attr-defined]
-        for _ in range(message_count):  # twenty megabytes
+        for _ in range(message_count):  # 20 MB
             client.send_lines("M " + "x" * 4000)
         buffered_bytes = list[int]()
-        while not transport.transport.is_closing():  # it is closed, since no message is answered
+        while not transport.transport.is_closing():  # it is closed because no message is answered
             buffered_bytes.append(transport.transport.get_write_buffer_size())
             await asyncio.sleep(0)
         assert 0 < max(buffered_bytes) < 1 << 20, "buffered for a host that does not read"
@@ -371,7 +371,7 @@
 async def idle_clients_cannot_exhaust_descriptors_while_discovery_is_down(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Ordinary clients, attempts and discovery still get descriptors; nothing raises, accept goes on."""
+    """Ordinary clients, attempts and discovery still get descriptors; nothing raises, accept continues."""
     upstream_address = await testbed.upstream.start()
     discovery_address = unused_address()
     config = {
@@ -393,7 +393,7 @@
         watch.send_watch_answer(
             hosts(host("s-1", upstream_address, "leaving"), host("s-9", upstream_address))
         )
-        assert await first.read_line() == "MOVE", "its host drains, and the node knows"
+        assert await first.read_line() == "MOVE", "the node has received the update that its host drains"
         process.send_signal(signal.SIGTERM)
         assert process.subprocess.stderr
         logged = (await process.subprocess.stderr.read()).decode()
@@ -406,7 +406,7 @@
 async def a_restarted_process_serves_whatever_discovery_does(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """It accepts the connection and sends nothing: PONG and the previous list do not wait for it."""
+    """Discovery sends nothing or closes the connection; PONG and the previous list do not depend on it."""
     address = await testbed.upstream.start()
     config = {
         "listen": unused_address(),
@@ -444,7 +444,7 @@
 
 
 def run_scenario(scenario: Scenario, folder: Path) -> None:
-    """Run a scenario; one that hangs fails, on any machine."""
+    """Run a scenario; it fails after 60 s, so that one that hangs fails on any machine."""
 
     async def run() -> None:
         with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request from its acceptance to its final answer, and reconnects of pinned connections."""
+"""The lifecycle of requests, and reconnects of pinned connections."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
         assert counters[CounterName.REQUESTS_DUPLICATE_ID] == duplicate_count
         assert counters[CounterName.REQUESTS] == 1
     event_types = [type(event) for event in events]
-    assert event_types == [NewRequest, ConnectionEstablished], "the policy gets no event of it"
+    assert event_types == [NewRequest, ConnectionEstablished], "the policy gets no event for the duplicate"
     first.connection_lost(testbed.now)
     session, duplicate = testbed.connect()
     session.data_received(line, testbed.now)
-    assert duplicate.sent == b"ERR\r\n", "a copy may come when the request has just ended"
+    assert duplicate.sent == b"ERR\r\n", "a copy may arrive just after the request has ended"
     assert not testbed.attempts()
     monkeypatch.setattr("limerudder.core.requests.request_table.MAX_RECENT_IDS", 3)
     for _ in range(4):
@@ -63,10 +63,10 @@
     assert not testbed.node.requests.open_ids
 
 
-def test_a_request_without_upstreams_left_is_answered_in_time(tmp_path: Path) -> None:
+def test_a_request_whose_upstreams_have_all_failed_is_answered_in_time(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     _, transport = testbed.send_request()
-    for _ in range(2):  # as many upstreams as there are
+    for _ in range(2):  # the number of upstreams
         testbed.attempts()[0].machine.connection_lost(testbed.now)
     testbed.run(1_990_000)
     assert transport.sent == b"BUSY\r\n" and not testbed.node.requests and not testbed.attempts()
@@ -111,7 +111,7 @@
     assert event_types == [ExistingConnection]
 
 
-def test_a_pinned_connection_at_an_unlisted_host_fails_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_pinned_connection_to_an_unlisted_host_fails_and_leaves_no_state(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     events = policy_events(testbed)
     upstream_count = len(testbed.node.upstreams.by_number)
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The guard before each send, and the run-time count of broken rules."""
+"""The send guard, and the counting of rule violations at run time."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from tests.node_testbed import NodeTestbed, node_testbed
 
 PINNED_LINE = f"{LINE},at=s-1"
-MAX_BASE_TURNS = 3  #: of all nodes in any two slots
+MAX_BASE_TURNS = 3  #: Maximum number of turns of all nodes in any two slots
 
 
 def restart_host(testbed: NodeTestbed, *names: str) -> None:
-    """Discovery lists new starts of these hosts, which happen now."""
+    """Apply an endpoint list in which these hosts have just restarted."""
     started = {"startedAtMs": testbed.now // 1000}
     listed = [host(name) | (started if name in names else {}) for name in ("s-1", "s-2")]
     testbed.node.endpoints_received(parse_endpoint_list(hosts(*listed)), testbed.now)
 
 
-def take_all_turns(testbed: NodeTestbed, name: str) -> None:
+def use_all_turns(testbed: NodeTestbed, name: str) -> None:
     number = testbed.node.upstreams.by_name[name].number
     while testbed.node.balancer.confirm_send(0, number, testbed.now):
         pass
 
 
 def test_a_request_whose_host_restarts_during_the_dial_is_written_only_in_a_turn(tmp_path: Path) -> None:
-    """Guards against issue 33: attempts under way went to a host that had just started."""
+    """Guards against issue 33: attempts in progress were sent to a host that had just started."""
     testbed = node_testbed(tmp_path)
     testbed.send_request()
     (dial,) = testbed.attempts()
     restart_host(testbed, "s-1", "s-2")
-    take_all_turns(testbed, dial.machine.observer.upstream.name)
+    use_all_turns(testbed, dial.machine.observer.upstream.name)
     assert dial.accept(testbed.now) == ""
     assert dial.closed
     assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 0
 
 
 def test_a_pinned_request_waits_for_a_turn_at_a_host_in_slow_start(tmp_path: Path) -> None:
-    """Guards against issue 33: a pinned reconnect asked no budget."""
+    """Guards against issue 33: pinned reconnects did not check the slow-start budget."""
     testbed = node_testbed(tmp_path, settings=settings(tryLimit=3) | {"balancers": 1})
     restart_host(testbed, "s-1")
     sent = 0
@@ -72,8 +72,8 @@
     assert testbed.node.balancer.confirm_send(0, number, testbed.now)
 
 
-def test_a_process_that_shuts_down_leaves_its_turns_to_the_one_that_replaces_it(tmp_path: Path) -> None:
-    """Guards against issue 33: two processes with one node's index, each with all of its turns."""
+def test_a_process_that_shuts_down_leaves_its_turns_to_its_replacement(tmp_path: Path) -> None:
+    """Guards against issue 33: two processes with the same node index both used all of its turns."""
     testbed = node_testbed(tmp_path, settings=settings() | {"balancers": 1})
     restart_host(testbed, "s-1")
     number = testbed.node.upstreams.by_name["s-1"].number
@@ -82,7 +82,7 @@
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
 
 
-def test_a_send_that_passes_the_guard_by_is_counted(tmp_path: Path) -> None:
+def test_a_send_that_bypasses_the_guard_is_counted(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     testbed.send_request()
     (dial,) = testbed.attempts()
@@ -106,10 +106,10 @@
     testbed.send_request()
     (connection,) = testbed.node.requests.values()
     testbed.node.check_all_answered()
-    assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 1, "it would end without its answer"
+    assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 1, "the request would end without an answer"
     connection.deadline_us = testbed.now - SECOND
     testbed.node.answers.conclude(connection, FinalAnswer.FAILED, testbed.now)
-    assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 2, "late"
+    assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 2, "a late answer"
     assert connection.state is ConnectionState.FINISHED
     testbed.node.answers.conclude(connection, FinalAnswer.FAILED, testbed.now)
-    assert testbed.node.counters[CounterName.RULE_VIOLATIONS] >= 3, "twice"
+    assert testbed.node.counters[CounterName.RULE_VIOLATIONS] >= 3, "a second answer"
