--- a/limerudder/core/requests/attempt_runner.py
+++ b/limerudder/core/requests/attempt_runner.py
@@ -132,7 +132,7 @@
             connection.attempt.close()
             self.attempt_ended(connection, outcome, (), now_us)
 
-    def give_up_unsent_to_unready(self, now_us: int) -> None:
+    def abort_unsent_to_unready(self, now_us: int) -> None:
         """Abort the attempts that are still being dialled to upstreams that are no longer ready.
 
         Otherwise their requests could be written to a draining upstream after its grace period.
--- a/limerudder/core/upstream/endpoint_updater.py
+++ b/limerudder/core/upstream/endpoint_updater.py
@@ -60,7 +60,7 @@
         if self._checks_health:  # each upstream may take one descriptor for its health checks
             self._admission.listed_hosts = self._upstreams.listed_count
         self._dispatch(EndpointUpdate(kind, endpoints.version, entries), now_us)
-        self._attempts.give_up_unsent_to_unready(now_us)
+        self._attempts.abort_unsent_to_unready(now_us)
         self._health_checker.close_unready()
 
     def refresh(self, name: str, version: int, kind: UpdateKind, now_us: int) -> None:
