--- a/limerudder/core/client/admission.py
+++ b/limerudder/core/client/admission.py
@@ -28,7 +28,7 @@
         self.reserved = reserved  # reserve for discovery, health checks, peers and closing connections
         self.attempts = attempts  # requests that have, or may need, an upstream connection
         self.other_process_descriptors = 0  # descriptors used by this node's other process in a hot restart
-        self.listed_hosts = 0  # number of listed upstreams; each may have one health check connection
+        self.listed_upstreams = 0  # number of listed upstreams; each may have one health check connection
         self.connections: set[AdmittedConnection] = set()
         self.idle: dict[AdmittedConnection, None] = {}  # idle connections, longest idle first
         self.closing: dict[AdmittedConnection, None] = {}  # closing connections, oldest first
@@ -39,13 +39,13 @@
         # Each listed upstream may have one health check connection in addition to its attempts. These are
         # reserved too, but a long endpoint list must not reserve more than half of all descriptors.
         max_reserved = max(self.max_descriptors // 2, self.reserved)
-        reserved = min(self.reserved + self.listed_hosts, max_reserved)
+        reserved = min(self.reserved + self.listed_upstreams, max_reserved)
         return max(self.max_descriptors - reserved - self.other_process_descriptors, 0)
 
     @property
     def max_health_checks(self) -> int:
         """Maximum number of health check connections covered by the reserve."""
-        beyond_base = min(self.listed_hosts, max(self.max_descriptors // 2 - self.reserved, 0))
+        beyond_base = min(self.listed_upstreams, max(self.max_descriptors // 2 - self.reserved, 0))
         return max(beyond_base, self.reserved // 4)
 
     @property
--- a/limerudder/core/upstream/endpoint_updater.py
+++ b/limerudder/core/upstream/endpoint_updater.py
@@ -58,7 +58,7 @@
             self._mark_others_gone(entries)
         self._complete_returns(entries, kind, endpoints.version, now_us)
         if self._checks_health:  # each upstream may take one descriptor for its health checks
-            self._admission.listed_hosts = self._upstreams.listed_count
+            self._admission.listed_upstreams = self._upstreams.listed_count
         self._dispatch(EndpointUpdate(kind, endpoints.version, entries), now_us)
         self._attempts.abort_unsent_to_unready(now_us)
         self._health_checker.close_unready()
