--- a/limerudder/core/upstream/attempt.py
+++ b/limerudder/core/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""The line protocol's attempt at an upstream, from its first line to the end of its connection."""
+"""State machine of a line-protocol attempt at an upstream, from the request to the end of the connection."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from limerudder.core.upstream.load_report import parse_report
 from limerudder.policy.events import AttemptOutcome
 
-MESSAGE_TIMEOUT_US = 2_500_000  #: a message unanswered for so long: its stream has stopped without an error
-UPSTREAM_CLOSE_TIMEOUT_US = 700_000  #: for an upstream to end its side after the client has ended its own
+MESSAGE_TIMEOUT_US = 2_500_000  #: Answer timeout of a message; a stream may stop without an error
+UPSTREAM_CLOSE_TIMEOUT_US = 700_000  #: Time limit for the upstream to end its side after the client has
 LINE_END = b"\r\n"
 
-#: How a proxied connection has ended, by the last word its upstream sent.
+#: Outcome of a proxied connection by the first word of the last line from its upstream.
 _OUTCOME_BY_LAST_WORD = {b"BYE": AttemptOutcome.OK, b"MOVE": AttemptOutcome.CANCELLED}
 
 
 class ServedClient(Protocol):
-    """The client's side, as the attempt that serves it uses it."""
+    """The client side of a proxied connection, as its attempt uses it."""
 
     transport: Transport | None
 
@@ -30,7 +30,7 @@
         """Send data to the client."""
 
     def migrate(self, now_us: int) -> None:
-        """Ask the client to connect again, and end its connection."""
+        """Request that the client reconnect, and end its connection."""
 
     def upstream_ended(self, now_us: int) -> None:
         """The upstream has ended its side."""
@@ -40,39 +40,39 @@
 
 
 class LineAttempt(OutboundMachineBase):
-    """The state machine of one upstream connection. It tells its observer of its end exactly once."""
+    """State machine of one upstream connection. Reports its end to its observer exactly once."""
 
     def __init__(
         self, observer: AttemptObserver, line: bytes, report_fields: Sequence[str], timer_wheel: TimerWheel
     ) -> None:
         self.observer = observer
-        self.line = line  # the request, with its line end
-        self.sent = False  # the request is written: from here on the upstream may have it
+        self.line = line  # The request, including its line end
+        self.sent = False  # Whether the request was sent: from then on the upstream may have received it
         self.ended = False
-        self.oldest_unanswered_us: int | None = None  # when the client's oldest unanswered message was sent
-        self.last_received_us = 0  # when the upstream last sent anything
+        self.oldest_unanswered_us: int | None = None  # Send time of the client's oldest unanswered message
+        self.last_received_us = 0  # Time of the last data from the upstream
         self._report_fields = report_fields
         self._client: ServedClient | None = None
         self._framer = LineFramer()
         self._established = False
-        self._client_has_ended = False  # the client has ended its side
+        self._client_has_ended = False  # Whether the client has ended its side
         self._last_word = b""
         self._report: tuple[float, ...] = ()
         self._timer = ResettableTimer(timer_wheel)
 
-    # called by the driver
+    # Called by the driver
 
     def first_bytes(self, now_us: int) -> bytes:
-        """The request, if it may still be sent; otherwise the observer has closed this attempt."""
+        """Return the request if it may still be sent; otherwise the observer has closed this attempt."""
         return self.line if self.observer.attempt_ready(now_us) else b""
 
     def first_bytes_sent(self, now_us: int) -> None:
-        """From here on the upstream may have the request."""
+        """The request is sent: from now on the upstream may have received it."""
         self.sent = True
         self.observer.attempt_sent(now_us)
 
     def data_received(self, data: bytes, now_us: int) -> None:
-        """The upstream has sent data: its answer first, then what it has for the client."""
+        """The upstream has sent data: first its answer to the request, then data for the client."""
         if self.ended:
             return
         self.last_received_us = now_us
@@ -88,7 +88,7 @@
             if self.ended:
                 return
         if self._client:
-            # Complete lines only, unchanged, LOAD and BYE among them: so a MOVE never cuts a line.
+            # Only complete lines are forwarded, unchanged, including LOAD and BYE: MOVE never splits a line.
             self._client.send(b"".join(line + LINE_END for line in lines))
         for line in lines:
             self._read_line(line, now_us)
@@ -110,18 +110,18 @@
             self._fail(self._outcome(), now_us)
 
     def set_writing_paused(self, paused: bool) -> None:
-        """The upstream reads slowly: its client is read no faster."""
+        """Pause reading from the client while the upstream reads slowly; resume afterwards."""
         if self._client and self._client.transport:
             self._client.transport.set_reading_paused(paused)
 
-    # called by the client's session
+    # Called by the client's session
 
     def serve(self, client: ServedClient) -> None:
-        """Serve the client: from now on, what the upstream sends goes there."""
+        """Serve this client: data from the upstream is forwarded to it from now on."""
         self._client = client
 
     def send(self, data: bytes, now_us: int) -> None:
-        """Pass the client's data on to the upstream."""
+        """Forward the client's data to the upstream."""
         if not self.transport or self.ended:
             return
         self.transport.write(data)
@@ -130,24 +130,24 @@
             self._timer.set(now_us + MESSAGE_TIMEOUT_US, self.upstream_silent)
 
     def client_ended(self, now_us: int) -> None:
-        """The client has ended its side: end this one. The upstream may still send its last lines."""
+        """The client has ended its side: end this side too. The upstream may still send its last lines."""
         if self.transport and not self._client_has_ended and not self.ended:
             self._client_has_ended = True
             self.transport.half_close()
-            # An answer still to come must not cancel the timer set here.
+            # An answer that is still outstanding must not cancel the timer set here.
             self.oldest_unanswered_us = None
             self._timer.set(now_us + UPSTREAM_CLOSE_TIMEOUT_US, self.upstream_silent)
 
     def client_reset(self) -> None:
-        """The client's connection broke: reset this one."""
+        """The client's connection broke: reset the upstream's."""
         if self.transport and not self.ended:
             self.transport.reset()
         self.close()
 
-    # called by the node
+    # Called by the node
 
     def upstream_silent(self, now_us: int) -> None:
-        """The upstream is silent: migrate its client. The outcome is not held against its capacity."""
+        """The upstream is silent: migrate its client. The outcome does not count against its capacity."""
         client = self._client
         self._end(AttemptOutcome.CANCELLED, now_us)
         if client and self._client_has_ended:
@@ -163,7 +163,7 @@
         if self.transport:
             self.transport.close()
 
-    # what the upstream says
+    # Parsing of lines from the upstream
 
     def _read_answer(self, line: bytes, now_us: int) -> None:
         word, _, rest = line.partition(b" ")
@@ -198,14 +198,14 @@
         if isfinite(load):
             self.observer.attempt_load_reported(load, now_us)
 
-    # endings
+    # Outcomes and the end of the connection
 
     def _outcome(self) -> AttemptOutcome:
-        """How a connection that has ended without an answer of ERR or BUSY has ended."""
+        """Return the outcome of a connection that ended without an ERR or BUSY answer."""
         if not self._established:
             return AttemptOutcome.RESET if self.sent else AttemptOutcome.CONNECT_FAILED
-        otherwise = AttemptOutcome.CANCELLED if self._client_has_ended else AttemptOutcome.RESET
-        return _OUTCOME_BY_LAST_WORD.get(self._last_word, otherwise)
+        default = AttemptOutcome.CANCELLED if self._client_has_ended else AttemptOutcome.RESET
+        return _OUTCOME_BY_LAST_WORD.get(self._last_word, default)
 
     def _fail(self, outcome: AttemptOutcome, now_us: int) -> None:
         client = self._client
--- a/limerudder/core/upstream/endpoint_updater.py
+++ b/limerudder/core/upstream/endpoint_updater.py
@@ -1,4 +1,4 @@
-"""Taking over discovery's endpoint lists into the registry of upstreams, and telling the policy."""
+"""Applies discovery's endpoint lists to the registry of upstreams, and notifies the policy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EndpointUpdater:
-    """Applies endpoint lists; what other parts know of an endpoint may make its state worse than listed."""
+    """Applies endpoint lists. Recorded drains and maintenance can make a state worse than listed."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         drain_memory: DrainMemory | None,
         services: NodeServices,
     ) -> None:
-        self.drain_memory = drain_memory  # drains that are remembered although discovery lists them no more
+        self.drain_memory = drain_memory  # Recorded drains, which outlast discovery's entries
         self._upstreams = upstreams
         self._start_times = StartTimes()
         self._names = names
@@ -46,7 +46,7 @@
         self._dispatch = services.dispatch
 
     def apply(self, endpoints: EndpointList, kind: UpdateKind, now_us: int) -> None:
-        """Apply a list to the registry, tell the policy, and end what may no longer go on."""
+        """Apply a list, notify the policy, and end unsent attempts and health checks of unready upstreams."""
         if kind != UpdateKind.OPERATOR:
             self._counters.increment(CounterName.ENDPOINT_UPDATES)
         starts = [ListedStart(endpoint.name, endpoint.started_ms) for endpoint in endpoints.endpoints]
@@ -55,32 +55,32 @@
         entries = [self._update_upstream(endpoint, changes) for endpoint in endpoints.endpoints]
         self._traffic_log.hosts_changed(changes, now_us)
         if kind in (UpdateKind.FULL, UpdateKind.CACHED):
-            self._mark_others_gone(entries)
-        self._complete_returns(entries, kind, endpoints.version, now_us)
-        if self._checks_health:  # each upstream may take one descriptor for its health checks
+            self._mark_unlisted_gone(entries)
+        self._report_returned(entries, kind, endpoints.version, now_us)
+        if self._checks_health:  # Health checks use up to one descriptor for each upstream
             self._admission.listed_hosts = self._upstreams.listed_count
         self._dispatch(EndpointUpdate(kind, endpoints.version, entries), now_us)
         self._attempts.give_up_unsent_to_unready(now_us)
         self._health_checker.close_unready()
 
     def refresh(self, name: str, version: int, kind: UpdateKind, now_us: int) -> None:
-        """Apply an endpoint's entry again because something else that is known of it has changed."""
+        """Apply an endpoint's last entry again after a change of its drain, maintenance or return time."""
         upstream = self._upstreams.listed(name)
         if upstream and upstream.endpoint:
             self.apply(EndpointList(version, False, (upstream.endpoint,)), kind, now_us)
 
-    def _mark_others_gone(self, entries: Sequence[ServerEntry]) -> None:
+    def _mark_unlisted_gone(self, entries: Sequence[ServerEntry]) -> None:
         listed = {entry.server_id for entry in entries}
         for upstream in self._upstreams.by_number.values():
             if upstream.number not in listed:
                 self._upstreams.set_state(upstream, ServerState.GONE)
 
-    def _complete_returns(
+    def _report_returned(
         self, entries: Sequence[ServerEntry], kind: UpdateKind, version: int, now_us: int
     ) -> None:
-        """Tell the policy first of upstreams that return from maintenance and are listed as ready again.
+        """Notify the policy first of upstreams that are listed as ready again after maintenance.
 
-        It hears of them as of an operator's call; discovery's own entry, which follows, changes nothing then.
+        They are reported like an operator's call; discovery's own entry, which follows, then changes nothing.
         """
         by_number = self._upstreams.by_number
         returned = [
@@ -94,13 +94,13 @@
                 self._dispatch(EndpointUpdate(UpdateKind.OPERATOR, version, [entry]), now_us)
 
     def _update_upstream(self, endpoint: Endpoint, changes: list[HostChange]) -> ServerEntry:
-        """Take over an endpoint, and add it to `changes` if its state or its start is another one now."""
+        """Apply an endpoint, and append it to `changes` if its state or start has changed."""
         upstream = self._upstreams.get_or_create(endpoint.name)
         upstream.endpoint = endpoint
         upstream.address = endpoint.address
         previous = (upstream.state, upstream.ready_since_us)
         self._upstreams.set_state(upstream, self._effective_state(endpoint))
-        # an upstream returned to service may have been restarted before discovery lists its new start
+        # An upstream returned to service may have restarted before discovery lists its new start.
         started_us = self._start_times.local_us(endpoint.name, endpoint.started_ms)
         ready_since_us = max(started_us, upstream.returned_to_service_us)
         upstream.ready_since_us = ready_since_us
@@ -117,8 +117,8 @@
         )
 
     def _effective_state(self, endpoint: Endpoint) -> ServerState:
-        """Return the worst of what discovery lists, what is remembered, and what operators have ordered."""
-        # asked for every endpoint: the memory also learns from it which ones are listed as draining
+        """Return the worst of the listed state, recorded drains and maintenance."""
+        # Called for every endpoint, because it also records the endpoints that are listed as draining.
         drains = self.drain_memory.observe(endpoint) if self.drain_memory else False
         if endpoint.state == ServerState.READY and (drains or self._is_in_maintenance(endpoint.name)):
             return ServerState.DRAINING
@@ -126,5 +126,5 @@
 
 
 def index_or_length(names: Sequence[str], name: str) -> int:
-    """Return the index of a name, or one past the last index where the settings do not have the name."""
+    """Return the index of a name, or one past the last index if the name is not in the settings."""
     return names.index(name) if name in names else len(names)
--- a/limerudder/core/upstream/health_check.py
+++ b/limerudder/core/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks of one upstream, sent over one connection that is kept for as long as it answers."""
+"""Health checks of one upstream, over one connection that stays open while the upstream answers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from limerudder.policy.events import AttemptOutcome
 
 PING_REQUEST = b"PING\r\n"
-STATS_REQUEST = b"STATS\r\n"  #: answered with a load report
+STATS_REQUEST = b"STATS\r\n"  #: Health check that is answered with a load report
 
-#: Called with latency (us), outcome, load report and time (us) of each health check.
+#: Callback with the latency (us), outcome, load report and time (us) of each health check.
 ResultCallback = Callable[[int, AttemptOutcome, tuple[float, ...], int], None]
 
 
 class HealthCheckConnection(OutboundMachineBase):
-    """The state machine of a connection that carries health checks, answered in the order they are sent."""
+    """State machine of a connection for health checks, which are answered in the order they are sent."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
     ) -> None:
         """`on_end` is called once, when the connection is closed or lost."""
         self.ended = False
-        self.pending_since_us: list[int] = []  # when each unanswered check was sent, in us
+        self.pending_since_us: list[int] = []  # Send time of each unanswered check, in us
         self._report_fields = report_fields
         self._on_result = on_result
         self._on_end = on_end
@@ -36,18 +36,18 @@
         self._established = False
 
     def send_check(self, now_us: int) -> None:
-        """Send one more check; the first goes out once the connection is established."""
+        """Send a check, or queue it until the connection is established."""
         self.pending_since_us.append(now_us)
         if self._established and self.transport:
             self.transport.write(self._request)
 
     def expire_pending(self, since_us: int, now_us: int) -> None:
-        """If a check sent by `since_us` is unanswered, time out all checks and close the connection."""
+        """Close the connection and time out all checks if one sent at or before `since_us` is unanswered."""
         if self.pending_since_us and self.pending_since_us[0] <= since_us:
             self._fail(AttemptOutcome.TIMEOUT, now_us)
 
     def close(self) -> None:
-        """Close the connection; no result is reported any more."""
+        """Close the connection; no further results are reported."""
         has_ended = self.ended
         self.ended = True
         self.pending_since_us = []
@@ -56,17 +56,17 @@
         if not has_ended:
             self._on_end()
 
-    # called by the driver
+    # Called by the driver
 
     def first_bytes(self, now_us: int) -> bytes:
-        """All checks that were requested while the connection was being established."""
-        # The time the connection took says nothing of the upstream's work.
+        """Return all checks that were queued while the connection was being established."""
+        # Latency excludes the time to connect, which is no measure of the upstream's load.
         self.pending_since_us = [now_us] * len(self.pending_since_us)
         self._established = True
         return self._request * len(self.pending_since_us)
 
     def data_received(self, data: bytes, now_us: int) -> None:
-        """Answers have come."""
+        """The upstream has sent answers."""
         try:
             lines = self._framer.feed(data)
         except LineError:
--- a/limerudder/core/upstream/health_checker.py
+++ b/limerudder/core/upstream/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks of upstreams, as the policy asks for them."""
+"""Health checks of upstreams, as requested by the policy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HealthChecker:
-    """Sends health checks over one connection to each upstream, kept open as long as the upstream answers."""
+    """Sends health checks over one connection per upstream, which stays open while the upstream answers."""
 
     def __init__(
         self,
@@ -28,12 +28,12 @@
         max_connections: Callable[[], int],
         services: NodeServices,
     ) -> None:
-        """`max_connections` tells how many descriptors may be used for health checks at this moment."""
+        """`max_connections` returns how many descriptors health checks may currently use."""
         self._upstreams = upstreams
         self._report_fields = report_fields
         self._max_connections = max_connections
-        self._connected: dict[Upstream, None] = {}  # with a connection, in the order they were dialled
-        self._idle: dict[Upstream, None] = {}  # those without a pending check, the longest idle first
+        self._connected: dict[Upstream, None] = {}  # Upstreams with a connection, in dial order
+        self._idle: dict[Upstream, None] = {}  # Connected ones without a pending check, longest idle first
         self._is_enabled = services.settings.allows_health_checks
         self._network = services.network
         self._timer_wheel = services.timer_wheel
@@ -42,16 +42,16 @@
         self._dispatch = services.dispatch
 
     def check(self, action: CheckHealth, now_us: int) -> None:
-        """Send a health check; its result comes as an event for the policy.
+        """Send a health check; its result is dispatched to the policy as an event.
 
-        A check for which there is no descriptor is not sent, and says nothing of the upstream.
+        A check for which no descriptor is available is not sent, and gives no result.
         """
         upstream = self._upstreams.by_number.get(action.server_id)
         if upstream is None or not self._is_enabled:
             return
         connection = upstream.health_check
         is_connected = connection is not None and not connection.ended
-        if not is_connected and not self._make_room():
+        if not is_connected and not self._ensure_capacity():
             self._counters.increment(CounterName.HEALTH_CHECKS_OBSOLETE)
             return
         self._counters.increment(CounterName.HEALTH_CHECKS)
@@ -62,8 +62,8 @@
             connection = self._connect(upstream, now_us)
         self._timer_wheel.schedule(now_us + _ANSWER_TIMEOUT_US, partial(connection.expire_pending, now_us))
 
-    def _make_room(self) -> bool:
-        """Close idle connections until one more is within the limit; return whether it is."""
+    def _ensure_capacity(self) -> bool:
+        """Close idle connections until the limit allows one more; return whether it does."""
         max_connections = self._max_connections()
         while self._idle and len(self._connected) >= max_connections:
             self._close(next(iter(self._idle)))
@@ -113,7 +113,7 @@
             self._close(upstream)
 
     def close_unready(self) -> None:
-        """Close the connections to upstreams that are not ready any more."""
+        """Close the connections to upstreams that are no longer ready."""
         for upstream in list(self._connected):
             if upstream.state != ServerState.READY:
                 self._close(upstream)
--- a/limerudder/core/upstream/liveness_scanner.py
+++ b/limerudder/core/upstream/liveness_scanner.py
@@ -1,4 +1,4 @@
-"""The regular search for upstreams that have fallen silent, and the migration of their clients."""
+"""Periodic scan for silent upstreams, and the migration of their clients."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LivenessScanner:
-    """Migrates the clients of silent upstreams step by step, for as long as those stay silent."""
+    """Migrates the clients of silent upstreams step by step while the upstreams remain silent."""
 
     def __init__(self, requests: RequestTable, services: NodeServices) -> None:
         self._requests = requests
--- a/limerudder/core/upstream/maintenance_effects.py
+++ b/limerudder/core/upstream/maintenance_effects.py
@@ -1,4 +1,4 @@
-"""What the maintenance of an upstream, and its end, change at the node."""
+"""Effects of the start and end of an upstream's maintenance on the node."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from limerudder.core.upstream.registry import UpstreamRegistry
 from limerudder.policy.events import UpdateKind
 
-_RETURN_TIMEOUT_US = 5_000_000  #: an upstream that operators have returned is in use again by then
+_RETURN_TIMEOUT_US = 5_000_000  #: Maximum time until an upstream returned to service is in use again
 
-EndpointRefresher = Callable[[str, UpdateKind, int], None]  #: name, kind of update, time in microseconds
+EndpointRefresher = Callable[[str, UpdateKind, int], None]  #: Arguments: name, kind of update, time (us)
 
 
 class MaintenanceEffects:
-    """The `MaintenanceTarget` of a node: drains an upstream in maintenance, and warms it up after it."""
+    """The `MaintenanceTarget` of a node: drains an upstream for maintenance, and warms it up afterwards."""
 
     def __init__(
         self,
@@ -35,13 +35,13 @@
         return self._upstreams.listed(name) is not None
 
     def maintenance_started(self, name: str, now_us: int) -> None:
-        """Operators have begun maintenance of an upstream."""
+        """Operators have started maintenance of an upstream."""
         self._counters.increment(CounterName.MAINTENANCE_STARTED)
         self._log(LogKind.HOST_MAINTENANCE, f"node: host {name} entered maintenance")
         self._refresh_endpoint(name, UpdateKind.OPERATOR, now_us)
 
     def maintenance_ended(self, name: str, now_us: int) -> None:
-        """Operators have ended the maintenance: the upstream may have been restarted, so all is unlearned."""
+        """Operators have ended maintenance. The upstream may have restarted, so learned state is reset."""
         self._counters.increment(CounterName.MAINTENANCE_ENDED)
         self._log(LogKind.HOST_MAINTENANCE, f"node: host {name} left maintenance")
         upstream = self._upstreams.by_name.get(name)
@@ -54,7 +54,7 @@
         self._refresh_endpoint(name, UpdateKind.OPERATOR, now_us)
 
     def return_to_service_times(self) -> dict[str, int]:
-        """Return when each upstream was returned to service last, by name; the others are left out."""
+        """Return the last return to service of each upstream that has one, by name."""
         return {
             upstream.name: upstream.returned_to_service_us
             for upstream in self._upstreams.by_number.values()
@@ -62,12 +62,12 @@
         }
 
     def apply_return_to_service_times(self, times: dict[str, int], now_us: int) -> None:
-        """Treat upstreams that were returned to service elsewhere as if that had been done here."""
+        """Apply returns to service that another process recorded, as if they had been made here."""
         for name, returned_us in times.items():
             upstream = self._upstreams.by_name.get(name)
             if upstream is None:
                 continue
-            # by the clock of another process, which may be ahead of this one's
+            # The time is by another process's clock, which may be ahead of this one's.
             upstream.returned_to_service_us = min(returned_us, now_us)
             is_recent = returned_us > now_us - _RETURN_TIMEOUT_US
             upstream.awaiting_listing_after_return = is_recent
--- a/limerudder/core/upstream/registry.py
+++ b/limerudder/core/upstream/registry.py
@@ -1,4 +1,4 @@
-"""The upstreams that a node knows, by number and by name."""
+"""Registry of a node's upstreams, by number and by name."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class Upstream:
-    """One host that serves connections, and what the node knows of it. Times are in microseconds."""
+    """An upstream and its state at this node. Times are in microseconds."""
 
     def __init__(self, number: int, name: str) -> None:
         self.number = number
         self.name = name
-        self.endpoint: Endpoint | None = None  # as discovery listed it last
+        self.endpoint: Endpoint | None = None  # Discovery's last entry
         self.address: Address = ("", 0)
         self.state: ServerState = ServerState.GONE
-        self.ready_since_us = 0  # its last start, or return to service, by the node's clock; 0: long ago
+        self.ready_since_us = 0  # Last start or return to service, by the node's clock; 0: long ago
         self.health_check: HealthCheckConnection | None = None
         self.liveness = LivenessMonitor()
         self.last_health_check_answer_us = 0
-        self.is_slow = False  # the policy's last latency sample of this upstream was a slow one
-        self.latency_reported_us = -_MICROSECONDS_PER_SECOND  # when the policy was last given one, long ago
-        self.returned_to_service_us = 0  # when operators last ended a maintenance of this upstream
-        self.awaiting_listing_after_return = False  # returned, and not listed as ready since
+        self.is_slow = False  # Whether the policy's last latency sample of this upstream was slow
+        self.latency_reported_us = -_MICROSECONDS_PER_SECOND  # Time of its last latency sample
+        self.returned_to_service_us = 0  # Time at which operators last ended its maintenance; 0: never
+        self.awaiting_listing_after_return = False  # Whether it has returned and is not yet listed as ready
 
     @property
     def is_listed(self) -> bool:
-        """Whether discovery lists this upstream, in whatever state."""
+        """Whether discovery lists this upstream, in any state."""
         return self.state != ServerState.GONE
 
 
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self.by_number: dict[int, Upstream] = {}
         self.by_name: dict[str, Upstream] = {}
-        self.listed_count = 0  #: upstreams that discovery lists, in whatever state
+        self.listed_count = 0  #: Number of upstreams that discovery lists, in any state
 
     def set_state(self, upstream: Upstream, state: ServerState) -> None:
         """Change the state in which an upstream is listed."""
@@ -70,7 +70,7 @@
         return upstream if upstream and upstream.is_listed else None
 
     def endpoint_list(self, version: int) -> EndpointList:
-        """Return the complete list of endpoints as it stands here."""
+        """Return the complete endpoint list with the current entries."""
         endpoints = (
             upstream.endpoint
             for upstream in self.by_number.values()
