--- a/limerudder/core/discovery/__init__.py
+++ b/limerudder/core/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: endpoint lists, the HTTP client that watches them, and remembered drains."""
+"""Service discovery: endpoint lists, the HTTP client that watches them, and recorded drains."""
--- a/limerudder/core/discovery/discovery_call.py
+++ b/limerudder/core/discovery/discovery_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery: a watch that brings list after list, or a poll that brings one."""
+"""One HTTP call to discovery: a watch, which receives a stream of lists, or a poll, which receives one."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from limerudder.policy.discovery_timing import CallDeadline
 
 PATH = "/discovery/hosts"
-MAX_LIST_BYTES = 1 << 22  #: a longer list is a fault of the service
+MAX_LIST_BYTES = 1 << 22  #: Maximum size of a list; a longer one is a fault of the service
 HTTP_OK = 200
 
 
 class DiscoveryCall(OutboundMachineBase):
-    """The state machine of one call, whose response is read as it comes.
+    """State machine of one call, which parses the response incrementally.
 
-    `on_list` is called with each endpoint list, `on_end` once, when no more comes, with whether it failed.
+    `on_list` is called with each endpoint list, `on_end` once at the end with whether the call failed.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         deadline: CallDeadline,
     ) -> None:
         self._host = host
-        self.after_version = after_version  # a watch gets the changes since then; a poll has None
+        self.after_version = after_version  # A watch receives the changes since this version; None for a poll
         self.is_watch = after_version is not None
         self.deadline = deadline
         self._ended = False
@@ -40,25 +40,25 @@
         self._on_end = on_end
         self._parser = httptools.HttpResponseParser(self)
         self._objects = JsonObjectStream(MAX_LIST_BYTES)
-        self._parsed: list[EndpointList] = []  # to be reported once the parser has returned
+        self._parsed: list[EndpointList] = []  # Lists to report once the parser has returned
         self._lists_received = 0
         self._response_complete = False
 
     @property
     def partial_list_bytes(self) -> int:
-        """How many bytes have come of the list that is not complete."""
+        """Number of received bytes of the incomplete list."""
         return len(self._objects.partial_object)
 
-    # called by the driver
+    # Called by the driver
 
     def first_bytes(self, now_us: int) -> bytes:
-        """The request."""
+        """Return the request."""
         query = f"?watch=1&after={self.after_version}" if self.is_watch else ""
         headers = f"Host: {self._host}\r\nAccept: application/json\r\n"
         return f"GET {PATH}{query} HTTP/1.1\r\n{headers}\r\n".encode()
 
     def data_received(self, data: bytes, now_us: int) -> None:
-        """Part of the response; a malformed one fails the call."""
+        """Part of the response has arrived; a malformed response fails the call."""
         if self._ended:
             return
         try:
@@ -72,7 +72,7 @@
         for endpoint_list in parsed:
             self._on_list(self, endpoint_list, now_us)
         if self._response_complete:
-            self._end(self.is_watch, now_us)  # a watch is never complete: its end is a failure
+            self._end(self.is_watch, now_us)  # A watch never completes: its end is a failure
 
     def eof_received(self, now_us: int) -> None:
         """The service has closed the connection before the response was complete."""
@@ -83,7 +83,7 @@
         self._end(True, now_us)
 
     def close(self) -> None:
-        """Close the connection; nothing more is reported."""
+        """Close the connection; nothing further is reported."""
         self._ended = True
         if self.transport:
             self.transport.close()
@@ -93,16 +93,16 @@
             self.close()
             self._on_end(self, failed, now_us)
 
-    # called by httptools; the names are its own
+    # Called by httptools, which prescribes the names
 
     def on_headers_complete(self) -> None:
-        """The status is known. Raises EndpointListError if it is not 200."""
+        """The status has arrived. Raises EndpointListError if it is not 200."""
         status = self._parser.get_status_code()
         if status != HTTP_OK:
             raise EndpointListError(f"status {status}")
 
     def on_body(self, data: bytes) -> None:
-        """Lists, with empty lines as heartbeats between them; chunks need not agree with either.
+        """Lists have arrived, with empty lines between them as heartbeats; chunks may split both anywhere.
 
         Raises EndpointListError or JsonStreamError.
         """
@@ -111,10 +111,10 @@
             self._lists_received += 1
 
     def on_message_complete(self) -> None:
-        """The response is complete. Raises EndpointListError if its list is not."""
+        """The response is complete. Raises EndpointListError if its list is incomplete or missing."""
         self._response_complete = True
         if self._objects.partial_object or not (self.is_watch or self._lists_received):
-            raise EndpointListError("the answer ends before its list does")
+            raise EndpointListError("response ended before its list was complete")
 
 
 def _parse_json(text: bytes) -> EndpointList:
--- a/limerudder/core/discovery/discovery_client.py
+++ b/limerudder/core/discovery/discovery_client.py
@@ -1,4 +1,4 @@
-"""How a node follows discovery: one watch at a time, polls beside it, and retries of what fails."""
+"""A node's discovery client: one watch at a time, additional polls, and retries of failed calls."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     CallDeadline,
 )
 
-NO_VERSION = 0  #: before any version a service has: a watch after it begins with everything there is
+NO_VERSION = 0  #: Version lower than any that a service uses: a watch after it starts with the complete list
 
 
 class EndpointObserver(Protocol):
-    """Receives what discovery tells: the node."""
+    """Receives endpoint lists and failures; implemented by the node."""
 
     def endpoints_received(self, endpoints: EndpointList, now_us: int) -> None:
-        """A complete list, or changes of it."""
+        """A complete list or changes to it have arrived."""
 
     def endpoints_unchanged(self, version: int, now_us: int) -> None:
-        """A poll was not necessary, since the watch has missed nothing."""
+        """A poll was unnecessary, since the watch has missed nothing."""
 
     def endpoints_failed(self, version: int, now_us: int) -> None:
-        """A call failed or the watch ended; the list received so far stays."""
+        """A call failed or the watch ended; the list received so far remains valid."""
 
 
 class DiscoveryClient:
-    """Watches and polls discovery at one address, which may be changed."""
+    """Watches and polls discovery at one address, which can be changed."""
 
     def __init__(
         self,
@@ -45,33 +45,33 @@
         observer: EndpointObserver,
         services: NodeServices,
     ) -> None:
-        self.version = version  # of the list that the observer has
+        self.version = version  # Version of the observer's list
         self.watch: DiscoveryCall | None = None
-        self.has_endpoint_list = False  # the current watch has brought its first list
+        self.has_endpoint_list = False  # Whether the current watch has received its first list
         self._address = address
-        self._is_pushed = is_pushed  # by an agent on this machine; otherwise a shared service is asked
+        self._is_pushed = is_pushed  # Whether an agent on this machine sends the lists, not a shared service
         self._observer = observer
         self._network = services.network
         self._timer_wheel = services.timer_wheel
         self._counters = services.counters
         self._reopen_watch_at_us: int | None = None
-        self._awaits_complete_list = False  # of the service at a new address
+        self._awaits_complete_list = False  # Whether a new service has yet to send its complete list
         self._polls: set[DiscoveryCall] = set()
         self._complete_timeout_us = COMPLETE_TIMEOUT_US
 
     def start(self, now_us: int) -> None:
-        """Open the watch if lists are pushed: the policy expects them without asking."""
+        """Open the watch if lists are pushed: the policy then does not request them."""
         self._check_deadlines(now_us)
         if self._is_pushed:
             self.ensure_watch(now_us)
 
     def ensure_watch(self, now_us: int) -> None:
-        """Open the watch. If it is alive nothing was missed, and the shared service is not asked again."""
+        """Open the watch. If it is already open, nothing was missed and the shared service is not polled."""
         if self.watch is None:
             self.has_endpoint_list = False
             self.watch = self._call(self.version, now_us)
         elif self.has_endpoint_list and self._awaits_complete_list:
-            self.poll(now_us)  # the poll before this one has failed
+            self.poll(now_us)  # The previous poll has failed
         elif self.has_endpoint_list:
             self._observer.endpoints_unchanged(self.version, now_us)
 
@@ -82,20 +82,20 @@
         self.watch = None
 
     def poll(self, now_us: int) -> None:
-        """Ask once for the complete list."""
+        """Request the complete list once."""
         self._polls.add(self._call(None, now_us))
 
     def change_address(self, address: Address, now_us: int) -> None:
-        """Call discovery at another address; the list stays until the new service has sent its own."""
+        """Switch to discovery at another address; the list stays until the new service has sent its own."""
         if address == self._address:
             return
         self._address = address
-        # Another service counts its versions as it likes: after a version of the old one, its changes might
-        # never come.
+        # Versions of two services are unrelated: a watch after a version of the old service might never
+        # receive the changes of the new one.
         self.version = NO_VERSION
         self._awaits_complete_list = True
         self.close_watch()
-        # A late answer of the old service must not undo what the new one tells.
+        # A late answer from the old service must not overwrite the new service's list.
         for call in self._polls:
             call.close()
         self._polls.clear()
@@ -115,9 +115,9 @@
         self.version = endpoint_list.version
         self._observer.endpoints_received(endpoint_list, now_us)
         if is_first_of_watch and self._awaits_complete_list and not endpoint_list.is_complete:
-            self.poll(now_us)  # these are changes of a list that this node never had
-        # At the first address no complete list is awaited, which spares the shared service: changes of the
-        # list that a node starts with are enough, whatever its version.
+            self.poll(now_us)  # The changes apply to a list that this node never received
+        # At the first address no complete list is awaited, to limit the load on the shared service: changes
+        # to the list that a node starts with are enough, regardless of its version.
         self._awaits_complete_list = self._awaits_complete_list and not endpoint_list.is_complete
 
     def _call_ended(self, call: DiscoveryCall, failed: bool, now_us: int) -> None:
@@ -130,18 +130,18 @@
             self._observer.endpoints_failed(self.version, now_us)
 
     def _check_deadlines(self, now_us: int) -> None:
-        """Fail the calls that are past their deadline, and reopen the watch when that is due."""
+        """Fail the calls that are past their deadline, and reopen the watch when it is due."""
         self._timer_wheel.schedule(now_us + CHECK_INTERVAL_US, self._check_deadlines)
         for call in self._open_calls():
             if call.deadline.is_expired(now_us):
-                self._allow_for_size(call.partial_list_bytes)
+                self._extend_timeout_for_size(call.partial_list_bytes)
                 call.connection_lost(now_us)
         if self._reopen_watch_at_us is not None and now_us >= self._reopen_watch_at_us:
             self._reopen_watch_at_us = None
             self.ensure_watch(now_us)
 
-    def _allow_for_size(self, partial_list_bytes: int) -> None:
-        """Give the next calls more time, if the list of one that expires was under way and is large."""
+    def _extend_timeout_for_size(self, partial_list_bytes: int) -> None:
+        """Extend the timeout of later calls if an expired call had received part of a large list."""
         if partial_list_bytes >= LARGE_LIST_BYTES:
             self._complete_timeout_us = min(2 * self._complete_timeout_us, MAX_COMPLETE_TIMEOUT_US)
 
--- a/limerudder/core/discovery/endpoint_list.py
+++ b/limerudder/core/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint list as records, and its JSON form."""
+"""Discovery's endpoint list as records, and its JSON format."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from limerudder.core.transport import Address, parse_address
 from limerudder.policy.events import ServerState
 
-#: Discovery's names of the states.
+#: Endpoint states by their names in discovery.
 STATES_BY_LIFECYCLE = {
     "active": ServerState.READY,
     "leaving": ServerState.DRAINING,
@@ -21,7 +21,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One upstream as discovery lists it."""
+    """An entry of discovery's list: one upstream."""
 
     name: str
     address: Address
@@ -30,11 +30,11 @@
     cell: int
     state: ServerState
     weight: float
-    started_ms: int  # since 1970
+    started_ms: int  # Milliseconds since 1970
 
 
 class EndpointList(NamedTuple):
-    """The complete list, or the endpoints that have changed."""
+    """The complete list, or only the endpoints that have changed."""
 
     version: int
     is_complete: bool
@@ -42,7 +42,7 @@
 
 
 def parse_endpoint_list(document: Any) -> EndpointList:
-    """Read discovery's JSON object. Raises EndpointListError if anything in it is wrong."""
+    """Parse discovery's JSON object. Raises EndpointListError if it is malformed."""
     try:
         endpoints = tuple(_parse_endpoint(instance) for instance in document["instances"])
         return EndpointList(int(document["generation"]), bool(document["reset"]), endpoints)
@@ -51,7 +51,7 @@
 
 
 def format_endpoint_list(endpoint_list: EndpointList) -> dict[str, Any]:
-    """The list as discovery's JSON object."""
+    """Return the list as discovery's JSON object."""
     return {
         "generation": endpoint_list.version,
         "reset": endpoint_list.is_complete,
--- a/limerudder/core/discovery/json_stream.py
+++ b/limerudder/core/discovery/json_stream.py
@@ -1,12 +1,12 @@
-"""Splits a byte stream into JSON objects, whatever their layout and wherever chunks are cut."""
+"""Splits a byte stream into JSON objects, independently of their layout and of chunk boundaries."""
 
 from __future__ import annotations
 
 import re
 
-MAX_DEPTH = 32  #: nested objects and arrays; an endpoint list has three
-_STRUCTURAL = re.compile(rb'[{}\[\]"]')  # the next character that matters outside strings
-_IN_STRING = re.compile(rb'["\\]')  # the next character that matters within a string
+MAX_DEPTH = 32  #: Maximum nesting of objects and arrays; an endpoint list has three levels
+_STRUCTURAL = re.compile(rb'[{}\[\]"]')  # Significant characters outside strings
+_IN_STRING = re.compile(rb'["\\]')  # Significant characters inside a string
 _WHITESPACE = b" \t\r\n"
 _OPENING_BRACE = ord("{")
 
@@ -16,30 +16,30 @@
 
 
 class JsonObjectStream:
-    """Returns each object's text once its closing brace has come; whitespace between objects is skipped.
+    """Returns each object's text once its closing brace has arrived; whitespace between objects is skipped.
 
-    Only the nesting of brackets and strings is checked, not what is inside. Every byte is scanned once.
+    Only brackets and strings are tracked; other syntax is not checked. Every byte is scanned once.
     """
 
     def __init__(self, max_object_bytes: int) -> None:
-        self.partial_object = bytearray()  # what has come of the object that is not complete
+        self.partial_object = bytearray()  # Received part of the incomplete object
         self._max_object_bytes = max_object_bytes
         self._depth = 0
         self._in_string = False
-        self._position = 0  # up to where `partial_object` is scanned
+        self._position = 0  # Number of bytes of `partial_object` already scanned
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add bytes; the objects that are complete with them. Raises JsonStreamError."""
+        """Add bytes, and return the objects that they complete. Raises JsonStreamError."""
         self.partial_object += data
         objects: list[bytes] = []
         while self._scan_next(objects):
             pass
         if len(self.partial_object) > self._max_object_bytes:
-            raise JsonStreamError(f"an object is longer than {self._max_object_bytes} bytes")
+            raise JsonStreamError(f"JSON object longer than {self._max_object_bytes} bytes")
         return objects
 
     def _scan_next(self, objects: list[bytes]) -> bool:
-        """Scan up to the next character that matters; False if there is none yet."""
+        """Scan up to the next significant character; return False if there is none yet."""
         if not self._depth:
             self._skip_to_object()
         if self._position >= len(self.partial_object):
@@ -56,9 +56,9 @@
         if character == b'"':
             self._in_string = not self._in_string
         elif character in b"{[":
-            self._enter()
+            self._open_bracket()
         else:
-            self._leave(objects)
+            self._close_bracket(objects)
         return True
 
     def _skip_to_object(self) -> None:
@@ -67,21 +67,21 @@
         del buffer[:whitespace_bytes]
         self._position = 0
         if buffer and buffer[0] != _OPENING_BRACE:
-            raise JsonStreamError(f"an object was expected, not {bytes(buffer[:20])!r}")
+            raise JsonStreamError(f"expected a JSON object, got {bytes(buffer[:20])!r}")
 
     def _skip_escaped_character(self) -> bool:
         if self._position >= len(self.partial_object):
-            self._position -= 1  # the escaped character is yet to come: scan the backslash again then
+            self._position -= 1  # The escaped character is missing so far: scan the backslash again with it
             return False
         self._position += 1
         return True
 
-    def _enter(self) -> None:
+    def _open_bracket(self) -> None:
         self._depth += 1
         if self._depth > MAX_DEPTH:
-            raise JsonStreamError(f"more than {MAX_DEPTH} levels within each other")
+            raise JsonStreamError(f"JSON nested more than {MAX_DEPTH} levels deep")
 
-    def _leave(self, objects: list[bytes]) -> None:
+    def _close_bracket(self, objects: list[bytes]) -> None:
         self._depth -= 1
         if not self._depth:
             objects.append(bytes(self.partial_object[: self._position]))
