--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at upstreams: their failures, their order, and the relay between two sides."""
+"""Attempts at upstreams: their failures, their order, and the relay between both sides."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_a_client_that_disconnects_while_its_attempt_is_dialled_is_never_forwarded(tmp_path: Path) -> None:
-    """Also if the settings do not allow attempts to be cancelled: this one has not begun."""
+    """Applies even if the settings forbid cancelling attempts, since this one has sent nothing yet."""
     testbed = node_testbed(tmp_path, settings=settings(cancel=False))
     session, _ = testbed.send_request()
     (attempt,) = testbed.attempts()
@@ -38,7 +38,7 @@
     ],
     ids=lambda value: str(value)[:20],
 )
-def test_an_attempt_that_fails_is_closed_before_the_next(
+def test_a_failed_attempt_is_closed_before_the_next_one(
     tmp_path: Path, failure: str, ending: AttemptOutcome
 ) -> None:
     testbed = node_testbed(tmp_path)
@@ -61,7 +61,7 @@
     assert not transport.sent
 
 
-def test_the_rules_of_attempts_hold_whatever_the_policy_decides(tmp_path: Path) -> None:
+def test_attempt_rules_are_enforced_regardless_of_policy_actions(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     ready, draining = testbed.node.upstreams.by_number.values()
     draining.state = ServerState.DRAINING
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("ending_side", ["upstream resets", "client resets", "client ends"])
-def test_one_side_ends_as_the_other_did(tmp_path: Path, ending_side: str) -> None:
+def test_the_end_of_one_side_is_relayed_to_the_other(tmp_path: Path, ending_side: str) -> None:
     testbed = node_testbed(tmp_path)
     session, transport, attempt = testbed.establish_client()
     if ending_side == "upstream resets":
@@ -114,7 +114,7 @@
         assert (transport.reading_paused, attempt.reading_paused) == (paused, paused)
 
 
-def test_a_dial_to_an_upstream_that_begins_to_drain_is_given_up(tmp_path: Path) -> None:
+def test_a_dial_to_an_upstream_that_begins_to_drain_is_cancelled(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     testbed.send_request()
     (attempt,) = testbed.attempts()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(
     "malformed", [b"x", b"[1]", b'{"a":1} 2', b'{"a":' * (MAX_DEPTH + 1), b'{"a":"' + b"x" * 99]
 )
-def test_anything_but_objects_is_an_error(malformed: bytes) -> None:
+def test_input_other_than_objects_is_rejected(malformed: bytes) -> None:
     with pytest.raises(JsonStreamError):
         JsonObjectStream(64 if b"xxx" in malformed else 1 << 20).feed(malformed)
 
@@ -89,14 +89,14 @@
 
 def test_an_agent_is_watched_from_the_start_and_again_after_its_watch_ends(tmp_path: Path) -> None:
     testbed = node_testbed_with_agent(tmp_path)
-    (watch,) = watches(testbed)  # the agent's list counts from the process's start
+    (watch,) = watches(testbed)  # An agent is watched from the start of the process
     watch.accept(testbed.now)
     watch.machine.data_received(HEAD + chunk(json.dumps(hosts(host("s-new"))).encode() + b"\n"), testbed.now)
     assert testbed.node.is_listed("s-new")
     watch.machine.eof_received(testbed.now)
     testbed.run(AGENT_RETRY_INTERVAL_US + AGENT_FIRST_BYTE_TIMEOUT_US // 2)
     assert len(watches(testbed)) == 2 and not watches(testbed)[1].closed
-    assert b"after=41" in watches(testbed)[1].machine.first_bytes(testbed.now), "what was missed comes first"
+    assert b"after=41" in watches(testbed)[1].machine.first_bytes(testbed.now), "changes since the last list"
 
 
 def test_a_silent_agent_is_called_again_until_it_answers(tmp_path: Path) -> None:
@@ -105,7 +105,7 @@
         testbed.run(AGENT_FIRST_BYTE_TIMEOUT_US + AGENT_RETRY_INTERVAL_US + SECOND)
         watches(testbed)[-1].accept(testbed.now)
     assert len(watches(testbed)) >= 3
-    assert sum(not watch.closed for watch in watches(testbed)) == 1, "one watch at a time"
+    assert sum(not watch.closed for watch in watches(testbed)) == 1, "only one watch is open"
 
 
 def test_a_list_that_never_ends_does_not_keep_its_watch_alive(tmp_path: Path) -> None:
@@ -115,7 +115,7 @@
     watch.machine.data_received(HEAD + chunk(b'{"generation": 42, '), testbed.now)
     for _ in range(COMPLETE_TIMEOUT_US // (SECOND // 2)):
         testbed.run(SECOND // 2)
-        assert not watch.closed, "a long list takes its time, the first too"
+        assert not watch.closed, "every list has the complete timeout, including the first"
         watch.machine.data_received(chunk(b"\r\n"), testbed.now)
     testbed.run(SECOND // 2)
     assert watch.closed
--- a/tests/test_discovery_call.py
+++ b/tests/test_discovery_call.py
@@ -1,4 +1,4 @@
-"""One call of discovery, with its answer cut at every point."""
+"""Calls to discovery, with responses split at any point."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("cut", range(0, len(WATCH) + 1, 3))
-def test_a_watch_gives_each_list_however_it_is_cut(cut: int) -> None:
+def test_a_watch_reports_each_list_regardless_of_chunk_boundaries(cut: int) -> None:
     lists = list[EndpointList]()
     failures = list[bool]()
     call = _watch(lists, failures)
@@ -43,7 +43,7 @@
     assert endpoint[:2] == ("s-9", ("10.1.0.18", 8081))
     assert endpoint.started_ms == 7
     call.data_received(b"0\r\n\r\n", 3)
-    assert failures == [True], "a watch that is complete has ended"
+    assert failures == [True], "the end of a watch is a failure"
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
         )
     ],
 )
-def test_a_malformed_answer_of_discovery_is_a_failed_call(answer: bytes) -> None:
+def test_a_malformed_response_fails_the_call(answer: bytes) -> None:
     lists = list[EndpointList]()
     failures = list[bool]()
     _watch(lists, failures).data_received(answer, 1)
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client: watches, polls, and another service's address."""
+"""The discovery client: watches, polls, and a change of the service's address."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def ready_names(testbed: NodeTestbed) -> list[str]:
-    """The names of the upstreams that are ready."""
+    """Return the names of the ready upstreams."""
     upstreams = testbed.node.upstreams.by_number.values()
     return [upstream.name for upstream in upstreams if upstream.state == ServerState.READY]
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("complete", [True, False])
-def test_discovery_at_a_new_address_is_polled_for_all_and_the_old_one_is_ignored(
+def test_a_new_discovery_address_is_polled_for_the_complete_list_and_the_old_one_is_ignored(
     tmp_path: Path, complete: bool
 ) -> None:
     testbed = node_testbed(tmp_path)
@@ -65,12 +65,12 @@
     assert testbed.node.discovery.version == 3
     assert ready_names(testbed) == (["s-3"] if complete else ["s-1", "s-2", "s-3"])
     last_call = testbed.dials[-1]
-    assert (last_call is new_call) is complete, "after changes alone, the complete list is polled"
+    assert (last_call is new_call) is complete, "the complete list is polled if only changes were received"
     testbed.node.discovery.change_address(("127.0.0.1", 99), testbed.now)
     assert not new_call.closed, "the address has not changed"
 
 
-def test_a_watch_that_fails_before_its_first_list_is_repeated_for_all(tmp_path: Path) -> None:
+def test_a_watch_that_fails_before_its_first_list_is_reopened_for_the_complete_list(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     testbed.node.discovery.change_address(("127.0.0.1", 99), testbed.now)
     testbed.dials[-1].machine.connection_lost(testbed.now)
@@ -95,15 +95,15 @@
 def test_a_node_that_starts_polls_for_changes_only(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path, known=hosts(host("s-1")) | {"generation": 0})
     _answer(testbed.dials[0], hosts(reset=False) | {"generation": 0}, testbed.now)
-    # many nodes start at once, and each complete list costs the service they share
+    # Many nodes may start at once, and each complete list adds load on the shared service.
     assert len(testbed.dials) == 1
 
 
 @pytest.mark.parametrize("listed_hosts", [3200, 5])
-def test_a_list_that_takes_longer_than_a_call_may_arrives_if_it_is_large(
+def test_a_large_list_arrives_even_if_it_exceeds_the_initial_timeout(
     tmp_path: Path, listed_hosts: int
 ) -> None:
-    """A list of thousands of hosts from a slow service was cut off by every call's deadline, for ever."""
+    """Guards against a list of thousands of upstreams being cut off by the deadline of every call."""
     testbed = node_testbed(tmp_path)
     text = json.dumps(hosts(*(host(f"s-{n}") for n in range(listed_hosts)))).encode() + b"\n"
     step_us = SECOND // 2
@@ -116,7 +116,7 @@
                 dial.machine.first_bytes(testbed.now)
                 dial.machine.data_received(ANSWER_HEAD + b"%x\r\n" % len(text), testbed.now)
             start = sent_bytes.get(dial, 0)
-            sent_bytes[dial] = start + len(text) // 16  # complete after 8 s
+            sent_bytes[dial] = start + len(text) // 16  # The list is complete after 8 s
             dial.machine.data_received(text[start : sent_bytes[dial]], testbed.now)
         testbed.run(step_us)
     assert testbed.node.upstreams.listed_count == (listed_hosts if listed_hosts > 5 else 2)
--- a/tests/test_health_check.py
+++ b/tests/test_health_check.py
@@ -1,4 +1,4 @@
-"""The state machine of a health check's connection."""
+"""The state machine of a health check connection."""
 
 from __future__ import annotations
 
@@ -33,4 +33,4 @@
     assert transport.accept(30) == "STATS\r\n"
     health_check.data_received(answer, 40)
     health_check.expire_pending(50, 60)
-    assert results == [(10, *expected)], "the time to connect does not count"
+    assert results == [(10, *expected)], "latency excludes the time to connect"
--- a/tests/test_health_checker.py
+++ b/tests/test_health_checker.py
@@ -37,13 +37,13 @@
     transport = testbed.dials[-1]
     transport.accept(testbed.now)
     transport.machine.data_received(f"PONG {report}".strip().encode() + b"\r\n", testbed.now)
-    assert [type(event) for event in events] == [HealthCheckResult], "the policy gets it either way"
+    assert [type(event) for event in events] == [HealthCheckResult], "the policy receives the result"
     assert testbed.node.counters[CounterName.LOAD_REPORTS_MALFORMED] == malformed
     assert sum("load report" in text for text in testbed.logged) == malformed
 
 
-def test_health_checks_take_no_more_descriptors_than_are_kept_for_them(tmp_path: Path) -> None:
-    """Guards against report 47952f: a check of each of 3,200 hosts took all descriptors of a process."""
+def test_health_checks_use_no_more_descriptors_than_are_reserved_for_them(tmp_path: Path) -> None:
+    """Guards against report 47952f: checks of 3,200 upstreams used all descriptors of a process."""
     listed = hosts(*(host(f"s-{n}") for n in range(3200)))
     testbed = node_testbed(tmp_path, known=listed, settings=settings(probes=True), limits={"sockets": 384})
     events = policy_events(testbed)
@@ -55,21 +55,21 @@
     dials = health_check_dials(testbed)
     assert len(dials) == node.admission.max_health_checks == reserve - 96
     assert node.counters[CounterName.HEALTH_CHECKS_OBSOLETE] == 3200 - len(dials)
-    assert not events, "a check that was not sent says nothing of its host"
+    assert not events, "a check that was not sent gives no result"
     first, second = dials[:2]
     for dial in (second, first):
         dial.accept(testbed.now)
         dial.machine.data_received(b"PONG inflight=1,x0=0.5\r\n", testbed.now)
     node.health_checker.check(CheckHealth(numbers[-1]), testbed.now)
-    assert second.closed and not first.closed, "the longest idle makes room"
+    assert second.closed and not first.closed, "the connection that was idle longest is closed"
     second_number, first_number = numbers[1], numbers[0]
     node.health_checker.check(CheckHealth(first_number), testbed.now)
-    assert first.sent.count(b"STATS") == 2, "over the connection that there is"
+    assert first.sent.count(b"STATS") == 2, "the open connection is reused"
     node.health_checker.check(CheckHealth(second_number), testbed.now)
-    assert len(health_check_dials(testbed)) == len(dials) + 1, "all others are pending"
+    assert len(health_check_dials(testbed)) == len(dials) + 1, "all other connections have a pending check"
 
 
-def test_connections_that_were_lost_make_room_for_others(tmp_path: Path) -> None:
+def test_lost_connections_free_descriptors_for_others(tmp_path: Path) -> None:
     listed = hosts(*(host(f"s-{n}") for n in range(300)))
     testbed = node_testbed(tmp_path, known=listed, settings=settings(probes=True), limits={"sockets": 384})
     numbers = list(testbed.node.upstreams.by_number)
@@ -84,11 +84,11 @@
     assert len(health_check_dials(testbed)) == 2 * limit
 
 
-def test_the_first_round_of_a_process_has_the_descriptors_for_all_that_it_asks(tmp_path: Path) -> None:
+def test_the_first_round_of_health_checks_has_a_descriptor_for_every_upstream(tmp_path: Path) -> None:
     tier = settings(probes=True) | {"balancers": 8, "discovery": "pushed"}
     listed = hosts(*(host(f"s-{n}") for n in range(100)))
     testbed = node_testbed(tmp_path, known=listed, settings=tier, limits={"sockets": 1024})
-    testbed.now += SECOND  # as long as a process on a small share of a core may take to load its endpoints
+    testbed.now += SECOND  # Time that a process with a small CPU share may need to load its endpoints
     testbed.run(TICK_US)
     assert len(health_check_dials(testbed)) == 100
     assert not testbed.node.counters[CounterName.HEALTH_CHECKS_TIMEOUT]
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Upstreams that fall silent, and single streams that stop."""
+"""Silent upstreams, and single streams that stop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"M 1\r\n", b"M 1\r\nM"], ids=["a line", "a line and a half"])
-def test_a_stream_that_stops_is_noticed_and_its_client_migrated_between_two_lines(
+def test_a_stopped_stream_is_detected_and_its_client_migrated_between_two_lines(
     tmp_path: Path, sent: bytes
 ) -> None:
     testbed = node_testbed(tmp_path)
@@ -21,7 +21,7 @@
     session, transport, attempt = testbed.establish_client()
     upstream = testbed.node.upstreams.by_name["s-1"]
     session.data_received(sent, testbed.now)
-    for _ in range(25):  # the machine answers on other connections
+    for _ in range(25):  # The upstream answers on other connections
         for other in testbed.node.upstreams.by_number.values():
             other.last_health_check_answer_us = testbed.now
         attempt.machine._framer.feed(b"half a li")
@@ -32,19 +32,19 @@
     assert transport.sent == b"UP 77\r\nMOVE\r\n"
     assert transport.half_closed and attempt.closed
     (ended,) = (event for event in events if isinstance(event, AttemptEnded))
-    assert ended.outcome == AttemptOutcome.CANCELLED, "it says nothing of the upstream's capacity"
+    assert ended.outcome == AttemptOutcome.CANCELLED, "the outcome does not count against the capacity"
 
 
 @pytest.mark.parametrize("recovers", [False, True], ids=["gone", "recovers"])
 def test_the_clients_of_a_silent_upstream_are_migrated_step_by_step_while_it_is_silent(
     tmp_path: Path, recovers: bool
 ) -> None:
-    """Two machines were once cut off, and 42 clients waited until they were back."""
+    """Guards against clients that wait for a machine that is cut off: 42 did until two machines returned."""
     testbed = node_testbed(tmp_path, known=hosts(host("s-1")))
     established = [testbed.establish_client() for _ in range(20)]
     first_session, _, _ = established[0]
     _, _, last_attempt = established[-1]
-    first_session.data_received(b"M 1\r\n", testbed.now)  # the others send nothing
+    first_session.data_received(b"M 1\r\n", testbed.now)  # The other clients send nothing
     testbed.run(990_000)
     migrated = [sum(transport.half_closed for _, transport, _ in established)]
     for _ in range(20):
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""How old hosts are, by clocks that are right, ahead or behind."""
+"""Ages of upstreams by clocks that are correct, ahead or behind."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def listed(host: str, started_ago_us: int) -> ListedStart:
-    """A start as discovery lists it, whose clock is right."""
+    """Return a start as listed by discovery, whose clock is correct."""
     return ListedStart(host, (NOW_US - started_ago_us) // 1000)
 
 
 @pytest.mark.parametrize("clock_ahead_us", [0, HOUR_US, -HOUR_US, 7 * SECOND, -7 * SECOND])
-def test_a_host_that_has_just_started_is_never_taken_for_an_old_one(clock_ahead_us: int) -> None:
-    """Guards against issue 33: a node whose clock was an hour ahead took it for warm."""
+def test_the_age_of_a_recently_started_upstream_is_never_overestimated(clock_ahead_us: int) -> None:
+    """Guards against issue 33: a node whose clock was an hour ahead treated a new upstream as warm."""
     local_now_us = NOW_US + clock_ahead_us
     starts = [listed("new", 2 * SECOND), listed("older", 10 * SECOND)]
     start_times = StartTimes()
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("clock_ahead_us", [0, HOUR_US])
-def test_ages_are_right_once_news_of_a_start_came_quickly(clock_ahead_us: int) -> None:
+def test_ages_are_exact_once_a_start_was_listed_without_delay(clock_ahead_us: int) -> None:
     start_times = StartTimes()
     start_times.observe([listed("first", 0)], NOW_US + clock_ahead_us)
     second = listed("second", 3 * SECOND)
@@ -37,7 +37,7 @@
     assert NOW_US + clock_ahead_us - start_times.local_us(*second) == 3 * SECOND
 
 
-def test_a_host_whose_clock_is_ahead_does_not_make_the_others_old() -> None:
+def test_an_upstream_whose_clock_is_ahead_does_not_raise_the_age_of_others() -> None:
     start_times = StartTimes()
     starts = [listed("ahead", -HOUR_US), listed("new", SECOND)]
     start_times.observe(starts, NOW_US)
@@ -45,7 +45,7 @@
     assert NOW_US - start_times.local_us(*starts[1]) == SECOND
 
 
-def test_a_start_keeps_its_local_time_and_a_restart_has_another() -> None:
+def test_a_start_keeps_its_local_time_and_a_restart_gets_a_new_one() -> None:
     start_times = StartTimes()
     first = listed("host", SECOND)
     start_times.observe([first], NOW_US)
