--- a/limerudder/core/discovery/drain_memory.py
+++ b/limerudder/core/discovery/drain_memory.py
@@ -24,7 +24,7 @@
     """Drains recorded by the parent process, used until this process can read the store itself."""
 
     def __init__(self, drained_starts: dict[str, int]) -> None:
-        self.observed_here: dict[str, int] = {}  # Drains that the parent process has not reported
+        self.unreported_drains: dict[str, int] = {}  # Drains that the parent process has not reported
         self._drained_starts = dict(drained_starts)
 
     def observe(self, endpoint: Endpoint) -> bool:
@@ -32,7 +32,7 @@
         last_drained_ms = self._drained_starts.get(endpoint.name, NEVER_STARTED_MS)
         if endpoint.state == ServerState.DRAINING and last_drained_ms < endpoint.started_ms:
             self._drained_starts[endpoint.name] = endpoint.started_ms
-            self.observed_here[endpoint.name] = endpoint.started_ms
+            self.unreported_drains[endpoint.name] = endpoint.started_ms
             return True
         return endpoint.started_ms <= last_drained_ms
 
--- a/limerudder/store_runtime.py
+++ b/limerudder/store_runtime.py
@@ -129,7 +129,7 @@
         bridge = await self._open_when_free(settings)
         self._bridge = bridge
         if self._inherited_drains:
-            bridge.record_inherited_drains(self._inherited_drains.observed_here)
+            bridge.record_inherited_drains(self._inherited_drains.unreported_drains)
         node.drain_memory = bridge
         node.maintenance.marks = self.marks(marks)
         try:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -243,7 +243,7 @@
     assert testbed.node.upstreams.by_name["s-1"].state == ServerState.DRAINING
     leaving = host("s-2", lifecycle="leaving") | {"startedAtMs": 7}
     testbed.node.endpoints_received(parse_endpoint_list(hosts(leaving)), testbed.now)
-    assert drain_memory.observed_here == {"s-2": 7}
+    assert drain_memory.unreported_drains == {"s-2": 7}
     assert drain_memory.drained_starts() == {"s-1": START_MS + 9, "s-2": 7}
     assert upstream_number(testbed, "s-2") and not testbed.node.is_listed("s-1")
 
