--- a/limerudder/cue/__init__.py
+++ b/limerudder/cue/__init__.py
@@ -1,9 +1,9 @@
-"""Typed records: the language of the operator's file and of its schema, a small part of CUE.
+"""A subset of the CUE language, in which the operator's file and its schema are written.
 
 A file is one struct whose fields are values, types, bounds, disjunctions or references. The file and the
-schema are unified, and the result must be concrete. `parser` reads text into the tree of `syntax_tree`,
-`evaluation` gives expressions their `values`, `unification` brings two values together, `concrete_values`
-takes the defaults, and `load` does it all and returns plain values or raises every error.
+schema are unified, and the result must be concrete. `parser` parses text into the tree of `syntax_tree`,
+`evaluation` evaluates expressions to `values`, `unification` unifies two values, `concrete_values` applies
+defaults, and `load` combines these steps: it returns plain values or raises an exception with all errors.
 
 Source: the CUE language specification.
 """
--- a/limerudder/cue/concrete_values.py
+++ b/limerudder/cue/concrete_values.py
@@ -1,22 +1,22 @@
-"""Plain values from unified ones: defaults are taken, and what is still open is an error."""
+"""Conversion of unified values to plain ones: applies defaults, reports values that are not concrete."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from limerudder.cue.errors import SourceError, SourcePosition
-from limerudder.cue.unification import Path, dotted
+from limerudder.cue.unification import Path, format_path
 from limerudder.cue.values import DisjunctionValue, ListValue, Scalar, StructValue, Value
 
 
 class Concretizer:
-    """Makes values concrete; what has neither value nor default is collected as an error."""
+    """Makes values concrete; collects an error for each that is neither concrete nor has a default."""
 
     def __init__(self) -> None:
         self.errors: list[SourceError] = []
 
     def concretize(self, value: Value, path: Path, position: SourcePosition) -> Any:
-        """Return a plain value; None, and an error at `position`, for what is not concrete."""
+        """Return a plain value; None, with an error at `position`, if the value is not concrete."""
         match value:
             case Scalar():
                 return value.value
@@ -28,12 +28,12 @@
                 default = _default(value)
                 if default is not None:
                     return self.concretize(default, path, position)
-        message = f"{dotted(path)}: nothing is said, expected {value}"
+        message = f"{format_path(path)}: nothing is said, expected {value}"
         self.errors.append(SourceError(position, message))
         return None
 
     def _struct(self, struct: StructValue, path: Path) -> dict[str, Any]:
-        """Return a struct's fields, without those that are optional and not given."""
+        """Return the fields of a struct, without optional fields that are not set."""
         values = {}
         for name, field in struct.fields.items():
             if field.optional:
@@ -51,9 +51,11 @@
 
 
 def _default(disjunction: DisjunctionValue) -> Value | None:
-    """Return the first marked default, or the only scalar; None where there is no clear choice."""
-    marked = [one.value for one in disjunction.alternatives if one.is_default]
+    """Return the first marked default, or else the only scalar; None if the choice is ambiguous."""
+    marked = [alternative.value for alternative in disjunction.alternatives if alternative.is_default]
     if marked:
         return marked[0]
-    scalars = [one.value for one in disjunction.alternatives if isinstance(one.value, Scalar)]
+    scalars = [
+        alternative.value for alternative in disjunction.alternatives if isinstance(alternative.value, Scalar)
+    ]
     return scalars[0] if len(scalars) == 1 else None
--- a/limerudder/cue/errors.py
+++ b/limerudder/cue/errors.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-MAX_REPORTED_ERRORS = 50  #: errors reported for one file
+MAX_REPORTED_ERRORS = 50  #: Maximum number of errors reported for a file
 
 
 @dataclass(frozen=True, slots=True)
 class SourcePosition:
-    """A place in a file; lines and columns begin at 1."""
+    """A position in a file; lines and columns start at 1."""
 
     file: str
     line: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceError:
-    """One error and its place."""
+    """An error and its position."""
 
     position: SourcePosition
     text: str
@@ -31,7 +31,7 @@
 
 
 class CueError(Exception):
-    """A file that cannot be used; `errors` holds everything wrong with it, in the order of the file."""
+    """An invalid file; `errors` lists its errors by position, at most `MAX_REPORTED_ERRORS`."""
 
     def __init__(self, errors: list[SourceError]) -> None:
         ordered = sorted(set(errors), key=_source_order)
--- a/limerudder/cue/evaluation.py
+++ b/limerudder/cue/evaluation.py
@@ -1,4 +1,4 @@
-"""Evaluation of expressions to values: references are followed, conjunctions unified, structs closed."""
+"""Evaluation of expressions to values: resolves references, unifies conjunctions and closes definitions."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     ValueAlternative,
 )
 
-MAX_EVALUATION_DEPTH = 64  #: references within references, and what they hold
-MAX_EVALUATED_VALUES = 100_000  #: of one file; references can multiply what a short file says
+MAX_EVALUATION_DEPTH = 64  #: Maximum depth of nested references and values
+MAX_EVALUATED_VALUES = 100_000  #: Maximum per file; references can expand a short file to many values
 DEFINITION_MARK = "#"
 
 
 class ReferenceScope:
-    """The names declared in a struct, and those of the structs around it."""
+    """The names declared in a struct and in its enclosing structs."""
 
     def __init__(self, struct: StructLiteral, outer: ReferenceScope | None) -> None:
         self.expressions: dict[str, list[Expression]] = {}
@@ -50,7 +50,7 @@
         self.outer = outer
 
     def all_names(self) -> Iterator[str]:
-        """Yield every name that can be referred to from here."""
+        """Yield every name that can be referenced in this scope."""
         scope: ReferenceScope | None = self
         while scope:
             yield from scope.expressions
@@ -65,7 +65,7 @@
 
 
 class Evaluator:
-    """Evaluates expressions; errors are collected, and what is wrong evaluates to any scalar."""
+    """Evaluates expressions; collects errors, and evaluates invalid expressions to any scalar."""
 
     def __init__(self, errors: list[SourceError]) -> None:
         self._errors = errors
@@ -73,7 +73,7 @@
         self._evaluated_count = 0
 
     def evaluate(self, expression: Expression, scope: ReferenceScope | None, closed: bool = False) -> Value:
-        """Return the value of an expression; `closed` for that of a definition."""
+        """Return the value of an expression; `closed` is set for the value of a definition."""
         self._depth += 1
         self._evaluated_count += 1
         try:
@@ -108,7 +108,7 @@
             message = f"{limit.text} stands here, expected a string to match"
             return self._error(limit.position, message)
         if operator is not BoundOperator.NOT_EQUAL and limit.kind in (Kind.BOOL, Kind.NULL):
-            message = f"{limit.text} stands here, expected what has an order"
+            message = f"{limit.text} stands here, expected an ordered value"
             return self._error(limit.position, message)
         check = BoundCheck(operator, _scalar(limit))
         return Constraint(bound.position, _bounded_kinds(bound), (check,))
@@ -133,7 +133,7 @@
         return ListValue(expression.position, items, rest)
 
     def struct(self, struct: StructLiteral, scope: ReferenceScope | None, closed: bool) -> StructValue:
-        """Return a struct's value; its definitions are there to be referred to and are no fields of it."""
+        """Return the value of a struct; its definitions can be referenced but are not fields."""
         inner_scope = ReferenceScope(struct, scope)
         fields: dict[str, Field] = {}
         for declaration in struct.fields:
@@ -145,7 +145,7 @@
     def _declare(
         self, declaration: FieldDeclaration, scope: ReferenceScope, closed: bool, fields: dict[str, Field]
     ) -> None:
-        """Evaluate a declaration and add its field; a field that is declared twice has to satisfy both."""
+        """Evaluate a declaration and add its field; a field declared twice must satisfy both declarations."""
         name = declaration.name
         is_definition = name.startswith(DEFINITION_MARK)
         value = self.evaluate(declaration.expression, scope, closed or is_definition)
@@ -164,15 +164,17 @@
         if found_scope is None:
             return self._predeclared(reference, scope)
         expressions = found_scope.expressions[name]
-        dotted = ".".join(reference.names)
+        full_name = ".".join(reference.names)
         for step in path:
-            structs = [one for one in expressions if isinstance(one, StructLiteral)]
+            structs = [expression for expression in expressions if isinstance(expression, StructLiteral)]
             if not structs:
-                return self._error(reference.position, f"{dotted}: {step} is sought in what is no record")
+                return self._error(
+                    reference.position, f"{full_name}: {step} is selected from a value that is not a struct"
+                )
             found_scope = ReferenceScope(structs[0], found_scope)
             if step not in found_scope.expressions:
-                hint = suggestion(step, found_scope.expressions)
-                return self._error(reference.position, f"{dotted}: there is no {step}{hint}")
+                suggested = suggestion(step, found_scope.expressions)
+                return self._error(reference.position, f"{full_name}: there is no {step}{suggested}")
             expressions = found_scope.expressions[step]
         is_definition = reference.names[-1].startswith(DEFINITION_MARK)
         return self.evaluate(expressions[0], found_scope, closed=is_definition)
@@ -181,8 +183,8 @@
         name, *path = reference.names
         if name in PREDECLARED_KINDS and not path:
             return Constraint(reference.position, PREDECLARED_KINDS[name])
-        known = [*PREDECLARED_KINDS, *(scope.all_names() if scope else ())]
-        return self._error(reference.position, f"{name} is not defined{suggestion(name, known)}")
+        known_names = [*PREDECLARED_KINDS, *(scope.all_names() if scope else ())]
+        return self._error(reference.position, f"{name} is not defined{suggestion(name, known_names)}")
 
     def _error(self, position: SourcePosition, text: str) -> Value:
         self._errors.append(SourceError(position, text))
@@ -194,7 +196,7 @@
 
 
 def _bounded_kinds(bound: Bound) -> frozenset[Kind]:
-    """Return the kinds that a bound can hold for."""
+    """Return the kinds of values that can satisfy a bound."""
     if bound.operator is BoundOperator.NOT_EQUAL:
         return SCALAR_KINDS
     if bound.limit.kind in NUMBER_KINDS:
--- a/limerudder/cue/literals.py
+++ b/limerudder/cue/literals.py
@@ -1,4 +1,4 @@
-"""Literals of operator files: strings, numbers with their units, and the words true, false and null."""
+"""Literals of operator files: strings, numbers with units, and the keywords true, false and null."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from limerudder.cue.errors import SourceError, SourcePosition
 from limerudder.cue.syntax_tree import Kind, Literal
 
-MAX_DIGITS = 40  #: of a number
+MAX_DIGITS = 40  #: Maximum number of digits of a number
 DURATION_UNITS_US = {"us": 1, "ms": 1000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 SIZE_UNITS_BYTES = {
     "B": 1,
@@ -20,22 +20,22 @@
     "GiB": 1 << 30,
 }
 NUMBER = re.compile(r"(-?[0-9][0-9_]*(?:\.[0-9]+)?)([A-Za-zµ]*)")
-WORDS = {"true": True, "false": False, "null": None}
+KEYWORDS = {"true": True, "false": False, "null": None}
 
 
 def parse_string(position: SourcePosition, text: str, errors: list[SourceError]) -> Literal:
-    """Return a quoted string, read as JSON has it; the empty string and an error if it cannot be read."""
+    """Return a quoted string, decoded as JSON; an empty string, with an error, if it is invalid."""
     try:
         return Literal(position, Kind.STRING, json.loads(text), text)
     except ValueError:
-        message = f"{text} is no string: an escape or character is not allowed"
+        message = f"{text} is not a valid string: invalid escape sequence or character"
         errors.append(SourceError(position, message))
         return Literal(position, Kind.STRING, "", text)
 
 
-def parse_word(position: SourcePosition, text: str) -> Literal:
+def parse_keyword(position: SourcePosition, text: str) -> Literal:
     """Return `true`, `false` or `null`."""
-    value = WORDS[text]
+    value = KEYWORDS[text]
     kind = Kind.NULL if value is None else Kind.BOOL
     return Literal(position, kind, value, text)
 
@@ -43,7 +43,7 @@
 def parse_number(position: SourcePosition, text: str, errors: list[SourceError]) -> Literal:
     """Return a number, a duration in microseconds or a size in bytes; unknown units are errors."""
     match = NUMBER.fullmatch(text)
-    assert match, "the grammar lets no other number in"
+    assert match, "the grammar accepts no other numbers"
     digits = match[1].replace("_", "")
     unit = match[2].replace("µ", "u")
     if len(digits) > MAX_DIGITS:
@@ -57,7 +57,7 @@
     if unit in SIZE_UNITS_BYTES:
         return Literal(position, Kind.SIZE, round(number * SIZE_UNITS_BYTES[unit]), text)
     if unit:
-        known = ", ".join([*DURATION_UNITS_US, *SIZE_UNITS_BYTES])
-        errors.append(SourceError(position, f"{text} has the unit {unit}; there are {known}"))
+        known_units = ", ".join([*DURATION_UNITS_US, *SIZE_UNITS_BYTES])
+        errors.append(SourceError(position, f"{text} has the unit {unit}; there are {known_units}"))
     kind = Kind.FLOAT if is_fraction else Kind.INT
     return Literal(position, kind, number, text)
--- a/limerudder/cue/load.py
+++ b/limerudder/cue/load.py
@@ -1,4 +1,4 @@
-"""Loading of a file against a schema, from text to plain values."""
+"""Loading of a file according to a schema: converts text to plain values."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from limerudder.cue.unification import Unifier
 from limerudder.cue.values import StructValue
 
-SCHEMA_NAME = "schema"  #: the schema's file name in messages
+SCHEMA_NAME = "schema"  #: File name of the schema in error messages
 
 
 def load(text: str | bytes, file: str, schema: str, root: str) -> dict[str, Any]:
-    """Return the values of a file that has to satisfy the schema's definition `root`.
+    """Return the values of a file that must satisfy the schema's definition `root`.
 
-    The file may refer to the schema's definitions. Durations are returned in microseconds, sizes in bytes.
-    Raises CueError with everything that is wrong.
+    The file may reference the schema's definitions. Durations are returned in microseconds, sizes in bytes.
+    Raises CueError with all errors in the file.
     """
     schema_scope = ReferenceScope(parse(schema, SCHEMA_NAME), None)
     struct = parse(text, file)
@@ -38,7 +38,7 @@
 
 
 def _not_reported_yet(errors: list[SourceError], reported: list[SourceError]) -> list[SourceError]:
-    """Return the errors on paths that no other error is about."""
+    """Return the errors for whose paths no error has been reported."""
     reported_paths = {_path_text(error) for error in reported}
     return [error for error in errors if _path_text(error) not in reported_paths]
 
--- a/limerudder/cue/parser.py
+++ b/limerudder/cue/parser.py
@@ -1,4 +1,4 @@
-"""From text to a syntax tree: the grammar, on Lark, and the bounds on what is read at all."""
+"""Parsing of text into a syntax tree: a Lark grammar, with limits on the size and nesting of a file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lark import Lark, Token, Transformer, UnexpectedCharacters, UnexpectedToken, v_args
 
 from limerudder.cue.errors import MAX_REPORTED_ERRORS, CueError, SourceError, SourcePosition
-from limerudder.cue.literals import parse_number, parse_string, parse_word
+from limerudder.cue.literals import parse_keyword, parse_number, parse_string
 from limerudder.cue.syntax_tree import (
     Alternative,
     Bound,
@@ -27,9 +27,9 @@
 )
 
 MAX_FILE_BYTES = 256 * 1024
-MAX_NESTING_DEPTH = 32  #: brackets within brackets
-MAX_EXPECTED_NAMES = 6  #: tokens that a syntax error offers
-MAX_TOKEN_TEXT = 40  #: characters of an unexpected token that a syntax error shows
+MAX_NESTING_DEPTH = 32  #: Maximum depth of nested brackets
+MAX_EXPECTED_NAMES = 6  #: Maximum number of expected tokens in a syntax error
+MAX_TOKEN_TEXT = 40  #: Maximum length of an unexpected token in a syntax error
 
 GRAMMAR = r"""
 start: declarations
@@ -64,7 +64,7 @@
 %ignore /[ \t\r\n]+/
 """
 
-#: The names of terminals in error messages.
+#: Names of terminals in error messages.
 TERMINAL_NAMES = {
     "COLON": "':'",
     "COMMA": "','",
@@ -82,10 +82,10 @@
 
 
 def parse(source: str | bytes, file: str) -> StructLiteral:
-    """Return the syntax tree of a whole file.
+    """Return the syntax tree of a file.
 
-    Raises CueError with every syntax error, one a line: more than `MAX_FILE_BYTES`, brackets deeper than
-    `MAX_NESTING_DEPTH`, bytes that are not UTF-8, tokens where others were expected.
+    Raises CueError with the syntax errors, at most one per line: more than `MAX_FILE_BYTES`, brackets nested
+    deeper than `MAX_NESTING_DEPTH`, bytes that are not UTF-8, unexpected tokens.
     """
     text = _decode(source, file)
     _check_nesting(text, file)
@@ -115,12 +115,12 @@
         return data.decode()
     except UnicodeDecodeError as exc:
         line = data.count(b"\n", 0, exc.start) + 1
-        error = SourceError(SourcePosition(file, line, 1), "bytes that are no UTF-8")
+        error = SourceError(SourcePosition(file, line, 1), "bytes that are not valid UTF-8")
         raise CueError([error]) from exc
 
 
 def _check_nesting(text: str, file: str) -> None:
-    """Raise CueError for brackets nested so deep that walking the tree could exhaust the stack."""
+    """Raise CueError for brackets nested so deeply that traversing the tree could exhaust the stack."""
     depth = 0
     for token in BRACKETS.finditer(text):
         if token[0] in "[{(":
@@ -140,7 +140,7 @@
 
 
 class _SyntaxErrorReporter:
-    """Collects syntax errors, the first of each line, while the parser drops bad tokens and goes on."""
+    """Collects the first syntax error of each line; the parser skips unexpected tokens and continues."""
 
     def __init__(self, text: str, file: str) -> None:
         self.errors: list[SourceError] = []
@@ -148,7 +148,7 @@
         self._file = file
 
     def report(self, exception: Exception) -> bool:
-        """Record an error of Lark's; return whether the parser is to go on."""
+        """Record a parser error; return whether Lark should continue parsing."""
         if isinstance(exception, UnexpectedCharacters):
             error = self._unexpected_character(exception)
         elif isinstance(exception, UnexpectedToken):
@@ -167,10 +167,10 @@
 
     def _unexpected_token(self, exception: UnexpectedToken) -> SourceError:
         token = exception.token
-        names = {TERMINAL_NAMES.get(name, "") for name in exception.accepts or exception.expected}
-        known_names = sorted(names - {""})
-        expected = " or ".join(known_names[:MAX_EXPECTED_NAMES]) or "nothing more"
-        if _is_end_of_file(exception):  # Lark gives the last token's place instead
+        terminal_names = {TERMINAL_NAMES.get(name, "") for name in exception.accepts or exception.expected}
+        expected_names = sorted(terminal_names - {""})
+        expected = " or ".join(expected_names[:MAX_EXPECTED_NAMES]) or "nothing more"
+        if _is_end_of_file(exception):  # Lark reports the last token instead
             line = self._text.count("\n") + 1
             column = len(self._text) - self._text.rfind("\n")
             found = "the end of the file"
@@ -202,7 +202,7 @@
 
 
 class _TreeBuilder(Transformer[Token, Any]):
-    """Turns Lark's tree into the syntax tree; each method is named after a rule of the grammar."""
+    """Converts Lark's tree to the syntax tree; each method is named after a grammar rule."""
 
     def __init__(self, file: str, errors: list[SourceError]) -> None:
         super().__init__()
@@ -220,9 +220,9 @@
         return self._struct(SourcePosition(self._file, meta.line, meta.column), children[0])
 
     def _struct(self, position: SourcePosition, declarations: list[_Declaration]) -> StructLiteral:
-        fields = tuple(one for one in declarations if isinstance(one, FieldDeclaration))
-        patterns = [one.expression for one in declarations if isinstance(one, _Pattern)]
-        is_open = any(isinstance(one, _Ellipsis) for one in declarations)
+        fields = tuple(item for item in declarations if isinstance(item, FieldDeclaration))
+        patterns = [item.expression for item in declarations if isinstance(item, _Pattern)]
+        is_open = any(isinstance(item, _Ellipsis) for item in declarations)
         last_pattern = patterns[-1] if patterns else None
         return StructLiteral(position, fields, last_pattern, is_open)
 
@@ -280,17 +280,17 @@
         return Reference(self._position(children[0]), tuple(map(str, children)))
 
     def bound(self, children: list[Any]) -> Bound:
-        sign, limit = children
-        operator = BoundOperator(str(sign))
+        operator_token, limit = children
+        operator = BoundOperator(str(operator_token))
         if operator is BoundOperator.MATCHES and limit.kind is Kind.STRING:
-            limit = self._checked_pattern(limit)
-        return Bound(self._position(sign), operator, limit)
+            limit = self._validate_pattern(limit)
+        return Bound(self._position(operator_token), operator, limit)
 
-    def _checked_pattern(self, limit: Literal) -> Literal:
+    def _validate_pattern(self, limit: Literal) -> Literal:
         try:
             re.compile(limit.value)
         except (re.error, RecursionError, OverflowError) as exc:
-            message = f"{limit.text} is no regular expression: {exc}"
+            message = f"{limit.text} is not a valid regular expression: {exc}"
             self._errors.append(SourceError(limit.position, message))
             return Literal(limit.position, Kind.STRING, "", limit.text)
         return limit
@@ -302,7 +302,7 @@
         if token.type == "STRING":
             return parse_string(position, text, self._errors)
         if token.type == "WORD":
-            return parse_word(position, text)
+            return parse_keyword(position, text)
         return parse_number(position, text, self._errors)
 
     @v_args(meta=True)
@@ -314,7 +314,7 @@
     @v_args(meta=True)
     def open_list(self, meta: Any, children: list[Any]) -> ListLiteral:
         position = SourcePosition(self._file, meta.line, meta.column)
-        (dots,) = (index for index, child in enumerate(children) if isinstance(child, Token))
-        has_rest = len(children) > dots + 1
-        rest = children[dots + 1] if has_rest else Reference(position, ("any",))
-        return ListLiteral(position, tuple(children[:dots]), rest)
+        (ellipsis_index,) = (index for index, child in enumerate(children) if isinstance(child, Token))
+        has_rest = len(children) > ellipsis_index + 1
+        rest = children[ellipsis_index + 1] if has_rest else Reference(position, ("any",))
+        return ListLiteral(position, tuple(children[:ellipsis_index]), rest)
--- a/limerudder/cue/suggestions.py
+++ b/limerudder/cue/suggestions.py
@@ -8,8 +8,8 @@
 
 
 def suggestion(name: str, known_names: Iterable[str]) -> str:
-    """Return words that offer the known name closest to `name`, or nothing if none is close."""
-    from difflib import get_close_matches  # only needed once something is wrong
+    """Return a suggestion of the known name closest to `name`; empty if none is similar."""
+    from difflib import get_close_matches  # needed only when an error is reported
 
-    close = get_close_matches(name, list(known_names), 1, MIN_SIMILARITY)
-    return f"; did you mean {close[0]}?" if close else ""
+    matches = get_close_matches(name, list(known_names), 1, MIN_SIMILARITY)
+    return f"; did you mean {matches[0]}?" if matches else ""
--- a/limerudder/cue/syntax_tree.py
+++ b/limerudder/cue/syntax_tree.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Literal:
-    """A value as written; durations are held in microseconds, sizes in bytes."""
+    """A value as written; durations are in microseconds, sizes in bytes."""
 
     position: SourcePosition
     kind: Kind
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conjunction:
-    """All of the operands at once: `a & b`."""
+    """A conjunction of operands: `a & b`."""
 
     position: SourcePosition
     operands: tuple[Expression, ...]
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Alternative:
-    """One operand of a disjunction; the default is marked with `*`."""
+    """One operand of a disjunction; `*` marks a default."""
 
     expression: Expression
     is_default: bool
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disjunction:
-    """One of the alternatives: `*a | b`."""
+    """A disjunction of alternatives: `*a | b`."""
 
     position: SourcePosition
     alternatives: tuple[Alternative, ...]
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldDeclaration:
-    """A field of a struct; a name that begins with `#` declares a definition."""
+    """A field of a struct; a name that starts with `#` declares a definition."""
 
     position: SourcePosition
     name: str
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StructLiteral:
-    """Fields in braces; `pattern` constrains every further field, `is_open` (`...`) allows any."""
+    """Fields in braces; `pattern` constrains all further fields, `is_open` (`...`) allows any."""
 
     position: SourcePosition
     fields: tuple[FieldDeclaration, ...]
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListLiteral:
-    """Items in brackets; `rest` constrains every further item, None allows no further ones."""
+    """Items in brackets; `rest` constrains all further items, None allows none."""
 
     position: SourcePosition
     items: tuple[Expression, ...]
--- a/limerudder/cue/unification.py
+++ b/limerudder/cue/unification.py
@@ -15,18 +15,18 @@
     ValueAlternative,
 )
 
-Path = tuple[str, ...]  #: field names and list indexes from the file's top
+Path = tuple[str, ...]  #: Field names and list indexes from the top level of the file
 
 
 class Unifier:
-    """Unifies values; conflicts are collected as errors, at the place in the operator's own file."""
+    """Unifies values; collects conflicts as errors, positioned in the operator's own file if possible."""
 
     def __init__(self, errors: list[SourceError], own_file: str | None = None) -> None:
         self._errors = errors
-        self._own_file = own_file  # errors name places in this file, where there is a choice
+        self._own_file = own_file  # file preferred for the positions of errors
 
     def unify(self, left: Value, right: Value, path: Path) -> Value:
-        """Return what both values allow; after a conflict, the left value."""
+        """Return the greatest instance of both values; after a conflict, the left value."""
         if isinstance(left, DisjunctionValue) or isinstance(right, DisjunctionValue):
             return self._unify_alternatives(left, right, path)
         if isinstance(left, StructValue) and isinstance(right, StructValue):
@@ -51,10 +51,10 @@
                 if not kinds:
                     return self._conflict(left, right, path)
                 return Constraint(left.position, kinds, left.bounds + right.bounds)
-        raise AssertionError("all pairs are above")
+        raise AssertionError("all combinations are matched above")
 
     def _unify_alternatives(self, left: Value, right: Value, path: Path) -> Value:
-        fitting: list[ValueAlternative] = []
+        unified: list[ValueAlternative] = []
         failures: list[list[SourceError]] = []
         for left_alternative in _alternatives(left):
             for right_alternative in _alternatives(right):
@@ -63,28 +63,28 @@
                 value = unifier.unify(left_alternative.value, right_alternative.value, path)
                 if errors:
                     failures.append(errors)
-                elif all(value != other.value for other in fitting):
+                elif all(value != other.value for other in unified):
                     is_default = left_alternative.is_default or right_alternative.is_default
-                    fitting.append(ValueAlternative(value, is_default))
-        if not fitting:
+                    unified.append(ValueAlternative(value, is_default))
+        if not unified:
             return self._no_alternative_fits(left, right, failures, path)
-        if len(fitting) == 1:
-            return fitting[0].value
+        if len(unified) == 1:
+            return unified[0].value
         position = left.position if isinstance(left, DisjunctionValue) else right.position
-        return DisjunctionValue(position, tuple(fitting))
+        return DisjunctionValue(position, tuple(unified))
 
     def _no_alternative_fits(
         self, left: Value, right: Value, failures: list[list[SourceError]], path: Path
     ) -> Value:
-        """Report the errors inside an alternative whose shape agrees, else the list of alternatives."""
-        inside = [errors for errors in failures if all(_depth(error) > len(path) for error in errors)]
+        """Report the errors within the best matching alternative, or else a conflict with all of them."""
+        nested = [errors for errors in failures if all(_depth(error) > len(path) for error in errors)]
         without_conflict = [
             errors for errors in failures if not any(" stands here, " in error.text for error in errors)
         ]
-        telling = inside or without_conflict
-        if not telling:
+        candidates = nested or without_conflict
+        if not candidates:
             return self._conflict(left, right, path)
-        fewest_errors: list[SourceError] = min(telling, key=len)
+        fewest_errors: list[SourceError] = min(candidates, key=len)
         self._errors.extend(fewest_errors)
         return right if isinstance(left, DisjunctionValue) else left
 
@@ -98,7 +98,7 @@
         return StructValue(position, fields, left.pattern or right.pattern, left.closed or right.closed)
 
     def _unify_field(self, left: StructValue, right: StructValue, name: str, path: Path) -> Field | None:
-        """Return a field of the unified struct; None, and an error, where a closed struct lacks it."""
+        """Return a field of the unified struct; None, with an error, if a closed struct does not allow it."""
         left_field = left.fields.get(name)
         right_field = right.fields.get(name)
         if left_field and right_field:
@@ -108,12 +108,14 @@
             return Field(position, value, left_field.optional and right_field.optional)
         present = left_field or right_field
         assert present
-        lacking = right if left_field else left
-        if lacking.closed:
-            message = f"{dotted(path)}: no such field{suggestion(name, lacking.fields)}"
+        other_struct = right if left_field else left
+        if other_struct.closed:
+            message = f"{format_path(path)}: no such field{suggestion(name, other_struct.fields)}"
             self._errors.append(SourceError(present.position, message))
             return None
-        value = self.unify(present.value, lacking.pattern, path) if lacking.pattern else present.value
+        value = (
+            self.unify(present.value, other_struct.pattern, path) if other_struct.pattern else present.value
+        )
         return Field(present.position, value, present.optional)
 
     def _unify_lists(self, left: ListValue, right: ListValue, path: Path) -> Value:
@@ -136,7 +138,7 @@
         same_file = found.position.file == expected.position.file
         if same_file and isinstance(expected, Scalar) and not isinstance(found, Scalar):
             found, expected = expected, found
-        message = f"{dotted(path)}: {found} stands here, expected {expected}"
+        message = f"{format_path(path)}: {found} stands here, expected {expected}"
         self._errors.append(SourceError(found.position, message))
         return left
 
@@ -148,10 +150,10 @@
 
 
 def _depth(error: SourceError) -> int:
-    """Return how many names the path has that an error's text begins with."""
+    """Return the number of names in the path with which the text of an error starts."""
     return error.text.partition(": ")[0].count(".") + 1
 
 
-def dotted(path: Path) -> str:
-    """Return a path as error messages show it."""
+def format_path(path: Path) -> str:
+    """Return a path in the form used in error messages."""
     return ".".join(path) or "the file"
--- a/limerudder/cue/values.py
+++ b/limerudder/cue/values.py
@@ -1,7 +1,7 @@
-"""What expressions evaluate to: scalars, constraints, disjunctions, structs and lists.
+"""Values of expressions: scalars, constraints, disjunctions, structs and lists.
 
-Values form the lattice of the CUE language specification, in which a type is a value too: `int` stands for
-all integers, `3` for one of them, and unification finds the greatest value that is an instance of both.
+Values form the lattice of the CUE language specification, in which a type is a value too: `int` represents
+all integers, `3` one of them, and unification finds the greatest value that is an instance of both.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 SCALAR_KINDS: frozenset[Kind] = frozenset(Kind)
 NUMBER_KINDS = frozenset({Kind.INT, Kind.FLOAT})
 
-#: What the predeclared names stand for, in the order in which messages name them.
+#: Kinds of values that the predeclared names represent.
 PREDECLARED_KINDS: dict[str, frozenset[Kind]] = {
     "string": frozenset({Kind.STRING}),
     "int": frozenset({Kind.INT}),
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scalar:
-    """A concrete value; durations are held in microseconds, sizes in bytes."""
+    """A concrete value; durations are in microseconds, sizes in bytes."""
 
     position: SourcePosition
     kind: Kind
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundCheck:
-    """A bound that a scalar has to keep."""
+    """A bound that a scalar must satisfy."""
 
     operator: BoundOperator
     limit: Scalar
@@ -54,7 +54,7 @@
         return f"{self.operator}{self.limit}"
 
     def accepts(self, scalar: Scalar) -> bool:
-        """Return whether a scalar keeps this bound; scalars without an order keep none but `!=` and `=~`."""
+        """Return whether a scalar satisfies this bound; unordered scalars can satisfy only `!=` and `=~`."""
         limit = self.limit
         if self.operator is BoundOperator.NOT_EQUAL:
             return (scalar.kind, scalar.value) != (limit.kind, limit.value)
@@ -74,17 +74,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Constraint:
-    """Any scalar of these kinds that keeps all bounds."""
+    """Any scalar of these kinds that satisfies all bounds."""
 
     position: SourcePosition
     kinds: frozenset[Kind]
     bounds: tuple[BoundCheck, ...] = ()
 
     def __str__(self) -> str:
-        words = [str(bound) for bound in self.bounds]
+        parts = [str(bound) for bound in self.bounds]
         if self.kinds < SCALAR_KINDS or not self.bounds:
-            words.insert(0, self._kinds_text())
-        return " & ".join(words)
+            parts.insert(0, self._kinds_text())
+        return " & ".join(parts)
 
     def _kinds_text(self) -> str:
         if self.kinds == NUMBER_KINDS:
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValueAlternative:
-    """One value of a disjunction; a default is taken where nothing else is said."""
+    """One value of a disjunction; a default applies if no value is given."""
 
     value: Value
     is_default: bool
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisjunctionValue:
-    """One of several values."""
+    """A disjunction of values."""
 
     position: SourcePosition
     alternatives: tuple[ValueAlternative, ...]
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StructValue:
-    """A struct: `pattern` constrains further fields; a closed struct allows none but its own."""
+    """A struct: `pattern` constrains further fields; a closed struct allows none."""
 
     position: SourcePosition
     fields: dict[str, Field] = field(hash=False)
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListValue:
-    """A list: these items, then any number of `rest` unless that is None."""
+    """A list: these items, then any number of `rest` items, or none if it is None."""
 
     position: SourcePosition
     items: tuple[Value, ...]
--- a/tests/test_cue.py
+++ b/tests/test_cue.py
@@ -1,4 +1,4 @@
-"""The operator's file: what it may contain, and that each of its errors is reported, whatever it contains."""
+"""The operator's file: what it may contain, and that errors in any input are reported."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return [str(error) for error in caught.value.errors]
 
 
-def test_an_empty_file_is_all_defaults() -> None:
+def test_an_empty_file_has_all_defaults() -> None:
     assert read_operator_file("", "x.cue") == OperatorFile(LogSettings(), None)
     assert load_example(REQUIRED_FIELDS) == {
         "mode": "off",
@@ -107,9 +107,9 @@
         ('mode: "on"\nmode: "off"', 'mode: "on" stands here, expected "off"'),
         ('note: "a" & "b"', 'stands here, expected "'),
         ("count: count", "a reference leads back to itself"),
-        ("count: >=true", "true stands here, expected what has an order"),
-        ('note: =~"("', "is no regular expression"),
-        ('note: "\\q"', "is no string"),
+        ("count: >=true", "true stands here, expected an ordered value"),
+        ('note: =~"("', "is not a valid regular expression"),
+        ('note: "\\q"', "is not a valid string: invalid escape sequence or character"),
         ("mode", "lab.cue:2:1: members stands here, expected ':'"),
         (REQUIRED_FIELDS + "mode", "lab.cue:3:5: the end of the file stands here, expected ':'"),
         ("count: 3 }", "} stands here"),
@@ -128,16 +128,16 @@
 def test_all_errors_are_reported_at_once_and_in_order() -> None:
     found = reported_errors('mode: "x"\ncount: 0\nshare: 2\nnope: 1\nlimits: {a: "b"}\n')
     assert [line.split(":")[1] for line in found] == ["1", "2", "3", "4", "5"]
-    assert len(reported_errors("a: : 3\nb c: 2\nd: 1 ]\n")) == 3, "syntax errors too, one a line"
+    assert len(reported_errors("a: : 3\nb c: 2\nd: 1 ]\n")) == 3, "one syntax error per line"
     assert len(reported_errors("".join(f"x{n}: 1\n" for n in range(200)))) == MAX_REPORTED_ERRORS
 
 
-def test_bytes_that_are_not_text_are_an_error() -> None:
-    with pytest.raises(CueError, match="x.cue:2:1: bytes that are no UTF-8"):
+def test_invalid_utf8_is_an_error() -> None:
+    with pytest.raises(CueError, match="x.cue:2:1: bytes that are not valid UTF-8"):
         read_operator_file(b"// fine\n\xff\xfe", "x.cue")
 
 
-def test_a_chain_of_references_is_bounded() -> None:
+def test_references_are_limited_in_depth_and_number() -> None:
     chain = "".join(f"#A{n}: #A{n + 1}\n" for n in range(500)) + "#A500: 3\ncount: #A0\n" + REQUIRED_FIELDS
     assert any("or too far" in line for line in reported_errors(chain))
     doubling = "".join(f"#B{n}: {{a: #B{n + 1}, b: #B{n + 1}}}\n" for n in range(40)) + "#B40: 1\n"
@@ -158,7 +158,7 @@
     | st.text(max_size=60)
     | st.binary(max_size=60)
 )
-def test_nothing_in_a_file_is_a_traceback(text: str | bytes) -> None:
+def test_any_input_is_loaded_or_reported_with_positions(text: str | bytes) -> None:
     for schema, root in ((EXAMPLE_SCHEMA, "#Lab"), (SCHEMA, "#File")):
         try:
             load(text, "x.cue", schema, root)
