--- a/limerudder/loadtest/__init__.py
+++ b/limerudder/loadtest/__init__.py
@@ -1,9 +1,9 @@
-"""Load tests: tools that drive nodes and judge them from outside. Nothing here is loaded by a node.
+"""Load tests: tools that generate load and check nodes from outside. Nodes do not load this package.
 
-- `arrivals`: who arrives and when, drawn before a run. No I/O.
-- `trace`: such arrivals as files.
-- `latency_histogram`: latency from the intended moment, lateness of the generator, answers. No I/O.
-- `rule_checker`: the rules that a node keeps. No I/O.
-- `simulated_client`, `load_generator`: the generator, an open loop on real sockets.
+- `arrivals`: plans of client arrivals, drawn before a run. No I/O.
+- `trace`: files of arrivals.
+- `latency_histogram`: latencies, the lateness of the generator, counts of answers. No I/O.
+- `rule_checker`: checks the rules that a node must satisfy. No I/O.
+- `simulated_client`, `load_generator`: the load generator, an open loop on real sockets.
 - `cli`: the command `limerudder lab`.
 """
--- a/limerudder/loadtest/arrivals.py
+++ b/limerudder/loadtest/arrivals.py
@@ -1,7 +1,7 @@
-"""Arrival plans: every arrival is drawn before the run, so that nothing a node does can change the load.
+"""Arrival plans: all arrivals are drawn before the run, so that the load does not depend on the nodes.
 
-This is an open loop: arrivals do not wait for answers. Source: Schroeder, Wierman and Harchol-Balter, "Open
-Versus Closed: A Cautionary Tale" (NSDI 2006).
+This is an open-loop load: arrivals do not wait for answers. Source: Schroeder, Wierman and Harchol-Balter,
+"Open Versus Closed: A Cautionary Tale" (NSDI 2006).
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 from numpy.typing import NDArray
 
 MICROSECONDS_PER_SECOND = 1_000_000
-MAX_ARRIVALS = 20_000_000  #: arrivals of one plan
+MAX_ARRIVALS = 20_000_000  #: Maximum number of arrivals in a plan
 MAX_PHASE_SECONDS = 86_400
 MAX_RATE_PER_SECOND = 1e6
 
-Times = NDArray[np.float64]  #: seconds from the beginning of the run
+Times = NDArray[np.float64]  #: Seconds since the start of the run
 
 
 class PlanError(ValueError):
-    """A plan that cannot be drawn, or a trace that cannot be read."""
+    """An invalid plan, or a trace that cannot be read."""
 
 
 class Arrival(NamedTuple):
-    """One client: its intended moment, and what it asks for."""
+    """One client: its intended arrival time, and its request."""
 
-    at_us: int  #: from the beginning of the run
+    at_us: int  #: Time since the start of the run
     traffic_class: str
     tenant: str
-    group: int  #: 0 for none
-    lifetime_us: int  #: how long it stays once it is served
+    group: int  #: Number of the group; 0 for no group
+    lifetime_us: int  #: Duration of the connection once it is established
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """Poisson arrivals at a rate, or at a rate that changes evenly from `rate` to `final_rate`."""
+    """Poisson arrivals at a constant rate, or at one that changes linearly from `rate` to `final_rate`."""
 
     seconds: float
-    rate: float  #: arrivals a second at its beginning
-    final_rate: float | None = None  #: at its end; None for a constant rate
+    rate: float  #: Arrivals per second at the start of the phase
+    final_rate: float | None = None  #: Arrivals per second at the end of the phase; None: constant
 
     @property
     def end_rate(self) -> float:
-        """Arrivals a second at the end of the phase."""
+        """Arrivals per second at the end of the phase."""
         return self.rate if self.final_rate is None else self.final_rate
 
     @property
@@ -54,25 +54,27 @@
         return self.seconds * (self.rate + self.end_rate) / 2
 
     def check(self) -> None:
-        """Raise PlanError if the phase cannot be drawn."""
+        """Raise PlanError if the phase is invalid."""
         if not 0 < self.seconds <= MAX_PHASE_SECONDS:
-            raise PlanError(f"a phase of {self.seconds} s; from 0 to {MAX_PHASE_SECONDS} are wanted")
+            raise PlanError(
+                f"a phase of {self.seconds} s; expected more than 0 and at most {MAX_PHASE_SECONDS}"
+            )
         rates = [self.rate, self.end_rate]
         if not all(0 <= rate <= MAX_RATE_PER_SECOND for rate in rates):
-            worst = max(rates, key=abs)
-            raise PlanError(f"a rate of {worst} a second; from 0 to {MAX_RATE_PER_SECOND:.0f} are wanted")
+            invalid_rate = max(rates, key=abs)
+            raise PlanError(f"a rate of {invalid_rate} per second; expected 0 to {MAX_RATE_PER_SECOND:.0f}")
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """Many arrivals at once, spread evenly over a short time: a shared launch, or a wave of reconnects."""
+    """Arrivals spread evenly over a short time, as in a shared launch or a wave of reconnects."""
 
-    at_seconds: float  #: from the beginning of the run
+    at_seconds: float  #: Start of the burst, in seconds since the start of the run
     arrivals: int
     within_seconds: float = 0.0
 
     def check(self) -> None:
-        """Raise PlanError if the burst cannot be drawn."""
+        """Raise PlanError if the burst is invalid."""
         if self.at_seconds < 0 or self.within_seconds < 0 or self.arrivals < 0:
             raise PlanError(
                 f"a burst of {self.arrivals} at {self.at_seconds} s within {self.within_seconds} s:"
@@ -82,27 +84,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """What arrivals are: names with weights, group sizes, lifetimes."""
+    """Distribution of the classes, tenants, groups and lifetimes of arrivals."""
 
     classes: dict[str, float] = field(default_factory=lambda: {"chat": 1.0})
     tenants: dict[str, float] = field(default_factory=lambda: {"": 1.0})
-    groups: int = 0  #: number of groups, chosen by Zipf's law; 0 for no groups
+    groups: int = 0  #: Number of groups, chosen by Zipf's law; 0 for no groups
     zipf_exponent: float = 0.8
     median_lifetime_seconds: float = 1.0
-    lifetime_sigma: float = 0.0  #: of the logarithm of lifetimes; 0 for equal lifetimes
+    lifetime_sigma: float = 0.0  #: Standard deviation of the lifetimes' logarithm; 0: all equal
 
     def check(self) -> None:
-        """Raise PlanError if the mix cannot be drawn."""
+        """Raise PlanError if the mix is invalid."""
         for name, weights in (("classes", self.classes), ("tenants", self.tenants)):
             if not weights or min(weights.values()) < 0 or sum(weights.values()) <= 0:
-                raise PlanError(f"{name}: names with weights are wanted, none negative and not all 0")
-        figures = (self.groups, self.median_lifetime_seconds, self.lifetime_sigma, self.zipf_exponent)
-        if min(figures) < 0:
+                raise PlanError(f"{name}: expected names with weights, none negative and not all 0")
+        parameters = (self.groups, self.median_lifetime_seconds, self.lifetime_sigma, self.zipf_exponent)
+        if min(parameters) < 0:
             raise PlanError("groups, zipf, life and life_sigma may not be negative")
 
 
 def draw(phases: Sequence[Phase], bursts: Sequence[Burst], mix: Mix, seed: int) -> list[Arrival]:
-    """Return all arrivals in order of time; the same for the same seed. Raises PlanError."""
+    """Return all arrivals, sorted by time; the same seed gives the same arrivals. Raises PlanError."""
     _check_plan(phases, bursts, mix)
     random = np.random.default_rng(seed)
     times = _draw_times(random, phases, bursts)
@@ -131,7 +133,7 @@
         part.check()
     expected = sum(phase.expected_arrivals for phase in phases)
     if expected + sum(burst.arrivals for burst in bursts) > MAX_ARRIVALS:
-        raise PlanError(f"some {expected:.0f} arrivals; at most {MAX_ARRIVALS} are drawn")
+        raise PlanError(f"about {expected:.0f} arrivals; at most {MAX_ARRIVALS} are drawn")
 
 
 def _draw_times(random: np.random.Generator, phases: Sequence[Phase], bursts: Sequence[Burst]) -> Times:
@@ -150,7 +152,7 @@
 
 
 def _draw_phase(random: np.random.Generator, phase: Phase) -> Times:
-    """Draw by thinning: at the highest rate, then kept in proportion (Lewis and Shedler, 1979)."""
+    """Draw arrivals at the highest rate, then thin them to the actual rate (Lewis and Shedler, 1979)."""
     highest_rate = max(phase.rate, phase.end_rate)
     count = random.poisson(highest_rate * phase.seconds)
     times = random.uniform(0, phase.seconds, count)
--- a/limerudder/loadtest/cli.py
+++ b/limerudder/loadtest/cli.py
@@ -1,4 +1,4 @@
-"""The command `limerudder lab`: drives nodes and judges them. Its libraries come with the extra `lab`."""
+"""The command `limerudder lab`: load tests of nodes. The extra `lab` installs its dependencies."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     context_settings={"help_option_names": ["-h", "--help"]},
 )
 def lab() -> None:
-    """Drive nodes and judge them. Needs `pip install limerudder[lab]`."""
+    """Run load tests against nodes. Needs `pip install limerudder[lab]`."""
     try:
         import hdrh  # type: ignore[import-untyped]
         import numpy  # noqa: F401
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PlanOptions:
-    """The options that say which arrivals are drawn."""
+    """The options that define the arrivals to be drawn."""
 
     phases: tuple[str, ...]
     bursts: tuple[str, ...]
@@ -54,23 +54,35 @@
     + "  limerudder lab load 127.0.0.1:8081 --trace launch.csv --figures run.jsonl"
 )
 @click.argument("targets", nargs=-1, required=True, metavar="ADDRESS:PORT...")
-@click.option("--phase", "phases", multiple=True, help="SECONDS,RATE[,RATE AT ITS END]; Poisson, in turn.")
-@click.option("--burst", "bursts", multiple=True, help="AT,MANY[,WITHIN]: so many at once, in seconds.")
-@click.option("--class", "classes", multiple=True, help="NAME=WEIGHT of a class.")
+@click.option(
+    "--phase",
+    "phases",
+    multiple=True,
+    help="SECONDS,RATE[,RATE AT ITS END] of Poisson arrivals; phases run in turn.",
+)
+@click.option(
+    "--burst",
+    "bursts",
+    multiple=True,
+    help="AT,MANY[,WITHIN]: MANY arrivals from AT on, over WITHIN seconds.",
+)
+@click.option("--class", "classes", multiple=True, help="NAME=WEIGHT of a traffic class.")
 @click.option("--tenant", "tenants", multiple=True, help="NAME=WEIGHT of a tenant.")
-@click.option("--groups", default=0, help="How many groups, by Zipf's law.")
-@click.option("--life", default=1.0, help="Median seconds that a client stays.")
-@click.option("--life-sigma", default=0.0, help="Of the logarithm of that.")
-@click.option("--seed", default=1, help="The same seed is the same arrivals.")
-@click.option("--deadline", default=2000, help="Milliseconds that clients say they will wait.")
+@click.option("--groups", default=0, help="Number of groups, chosen by Zipf's law.")
+@click.option("--life", default=1.0, help="Median seconds for which a client stays connected.")
+@click.option("--life-sigma", default=0.0, help="Standard deviation of the logarithm of that time.")
+@click.option("--seed", default=1, help="Random seed; the same seed gives the same arrivals.")
+@click.option("--deadline", default=2000, help="Deadline in milliseconds that clients send.")
 @click.option(
-    "--trace", type=click.Path(dir_okay=False, path_type=Path), help="Arrivals from a file instead."
+    "--trace", type=click.Path(dir_okay=False, path_type=Path), help="Read the arrivals from a file instead."
 )
 @click.option(
     "--save", type=click.Path(dir_okay=False, path_type=Path), help="Write the arrivals (.csv, .jsonl)."
 )
 @click.option(
-    "--figures", type=click.Path(dir_okay=False, path_type=Path), help="Figures a second, JSON Lines."
+    "--figures",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write results every second, as JSON Lines.",
 )
 def load(
     targets: tuple[str, ...],
@@ -80,20 +92,20 @@
     figures: Path | None,
     **plan_options: Any,
 ) -> None:
-    """Load nodes in an open loop, and tell latencies from the intended moments."""
+    """Run an open-loop load test; latencies are measured from the intended arrival times."""
     from limerudder.loadtest.arrivals import PlanError
     from limerudder.loadtest.load_generator import run_load_test
     from limerudder.loadtest.trace import read_trace, write_trace
 
-    addresses = _addresses(targets)
+    addresses = _parse_addresses(targets)
     options = _PlanOptions(**plan_options)
     if bool(trace) == bool(options.phases or options.bursts):
-        fail("say --phase or --burst, or --trace", ExitCode.INVALID_INPUT)
+        fail("give either --phase or --burst, or --trace", ExitCode.INVALID_INPUT)
     try:
-        arrivals = read_trace(trace) if trace else _draw(options)
+        arrivals = read_trace(trace) if trace else _draw_arrivals(options)
         if save:
             write_trace(save, arrivals)
-        with _opened(figures) as file:
+        with _open_for_writing(figures) as file:
             histogram = run_load_test(arrivals, addresses, deadline, file)
     except PlanError as exc:
         fail(str(exc), ExitCode.INVALID_INPUT)
@@ -102,7 +114,7 @@
     click.echo(json.dumps({"arrivals": len(arrivals), **histogram.summary()}, indent=2))
 
 
-def _addresses(targets: tuple[str, ...]) -> list[tuple[str, int]]:
+def _parse_addresses(targets: tuple[str, ...]) -> list[tuple[str, int]]:
     from limerudder.core.transport import parse_address
 
     try:
@@ -111,14 +123,16 @@
         fail(str(exc), ExitCode.INVALID_INPUT)
 
 
-def _draw(options: _PlanOptions) -> list[Any]:
+def _draw_arrivals(options: _PlanOptions) -> list[Any]:
     from limerudder.loadtest.arrivals import Burst, Mix, Phase, draw
 
-    phases = [Phase(*numbers) for numbers in _numbers(options.phases, PHASE_FORM)]
-    bursts = [Burst(at, int(count), *within) for at, count, *within in _numbers(options.bursts, BURST_FORM)]
+    phases = [Phase(*numbers) for numbers in _parse_numbers(options.phases, PHASE_FORM)]
+    bursts = [
+        Burst(at, int(count), *within) for at, count, *within in _parse_numbers(options.bursts, BURST_FORM)
+    ]
     mix = Mix(
-        classes=_weights(options.classes, DEFAULT_CLASS),
-        tenants=_weights(options.tenants, DEFAULT_TENANT),
+        classes=_parse_weights(options.classes, DEFAULT_CLASS),
+        tenants=_parse_weights(options.tenants, DEFAULT_TENANT),
         groups=options.groups,
         median_lifetime_seconds=options.life,
         lifetime_sigma=options.life_sigma,
@@ -126,30 +140,30 @@
     return draw(phases, bursts, mix, options.seed)
 
 
-def _numbers(words: tuple[str, ...], form: str) -> list[list[float]]:
-    """Return the numbers of options that have two or three, separated by commas."""
-    found = []
-    for word in words:
+def _parse_numbers(arguments: tuple[str, ...], form: str) -> list[list[float]]:
+    """Parse options that consist of two or three numbers, separated by commas."""
+    parsed = []
+    for argument in arguments:
         try:
-            numbers = [float(part) for part in word.split(",")]
+            numbers = [float(part) for part in argument.split(",")]
         except ValueError:
             numbers = []
         if len(numbers) not in (2, 3):
-            fail(f"{word} stands here, expected {form}", ExitCode.INVALID_INPUT)
-        found.append(numbers)
-    return found
+            fail(f"invalid value {argument}, expected {form}", ExitCode.INVALID_INPUT)
+        parsed.append(numbers)
+    return parsed
 
 
-def _weights(words: tuple[str, ...], default: str) -> dict[str, float]:
+def _parse_weights(arguments: tuple[str, ...], default: str) -> dict[str, float]:
     weights: dict[str, float] = {}
-    for word in words or (default,):
-        name, _, weight = word.partition("=")
+    for argument in arguments or (default,):
+        name, _, weight = argument.partition("=")
         try:
             weights[name] = float(weight or 1)
         except ValueError:
-            fail(f"{word} stands here, expected NAME=WEIGHT", ExitCode.INVALID_INPUT)
+            fail(f"invalid value {argument}, expected NAME=WEIGHT", ExitCode.INVALID_INPUT)
     return weights
 
 
-def _opened(path: Path | None) -> AbstractContextManager[IO[str] | None]:
+def _open_for_writing(path: Path | None) -> AbstractContextManager[IO[str] | None]:
     return path.open("w") if path else nullcontext()
--- a/limerudder/loadtest/latency_histogram.py
+++ b/limerudder/loadtest/latency_histogram.py
@@ -1,8 +1,8 @@
-"""What a load test has measured: latencies, the generator's lateness, and answers by kind.
+"""Results of a load test: latencies, the generator's lateness, and counts of answers by kind.
 
-Latency counts from the intended moment of an arrival, whoever was late. Counted from the moment of sending,
-a stall of the system under test would hide the arrivals that it kept from being sent (coordinated omission;
-Gil Tene, "How NOT to Measure Latency").
+Latency is measured from the intended time of an arrival, even if the generator was late. Measured from the
+time of sending, it would omit the delay of arrivals that could not be sent during a stall of the system under
+test (coordinated omission; Gil Tene, "How NOT to Measure Latency").
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-MAX_LATENCY_US = 3_600_000_000  #: longer latencies count as this one
+MAX_LATENCY_US = 3_600_000_000  #: Highest recorded latency; longer ones are recorded as this one
 SIGNIFICANT_DIGITS = 3
-LATE_ARRIVAL_US = 1000  #: an arrival that begins later than this counts as late by the generator
+LATE_ARRIVAL_US = 1000  #: Lateness above which the generator counts an arrival as late
 PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100}
 
 
 class LatencyHistogram:
-    """Counters and histograms of one run; all times in microseconds."""
+    """Counters and histograms of one run; all times are in microseconds."""
 
     def __init__(self) -> None:
         self.latency = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
@@ -30,7 +30,7 @@
         self.waiting = 0
 
     def record_arrival(self, lateness_us: int) -> None:
-        """Count an arrival that began this long after its intended moment."""
+        """Count an arrival that started `lateness_us` after its intended time."""
         self.arrived += 1
         self.waiting += 1
         if lateness_us > LATE_ARRIVAL_US:
@@ -38,20 +38,20 @@
         self.generator_lateness.record_value(max(lateness_us, 1))
 
     def record_answer(self, answer: str, latency_us: int) -> None:
-        """Count a final answer, or that none came, this long after the intended moment."""
+        """Count a final answer, or its absence, `latency_us` after the intended arrival time."""
         self.waiting -= 1
         self.answers[answer] += 1
         self.latency.record_value(min(max(latency_us, 1), MAX_LATENCY_US))
 
     def count_slower_than(self, latency_us: int) -> int:
-        """Return how many answers took longer; arrivals that still wait are not counted."""
+        """Return how many answers took longer; arrivals without an answer yet are not counted."""
         steps = self.latency.get_recorded_iterator()
         return sum(
             step.count_added_in_this_iter_step for step in steps if step.value_iterated_to > latency_us
         )
 
     def summary(self) -> dict[str, Any]:
-        """Return all figures in the form in which they are printed as JSON."""
+        """Return all results in the form in which they are printed as JSON."""
         return {
             "came": self.arrived,
             "waiting": self.waiting,
--- a/limerudder/loadtest/simulated_client.py
+++ b/limerudder/loadtest/simulated_client.py
@@ -1,4 +1,4 @@
-"""One simulated client: a connection to a node, from its first line to its end."""
+"""A simulated client: a connection to a node, from the first line until it is closed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from limerudder.loadtest.arrivals import MICROSECONDS_PER_SECOND, Arrival
 
-ANSWER_TIMEOUT_US = 10 * MICROSECONDS_PER_SECOND  #: from the intended moment; then the answer is `none`
+ANSWER_TIMEOUT_US = 10 * MICROSECONDS_PER_SECOND  #: Time-out after which the answer is `none`
 MAX_LINE_BYTES = 4096
 RECEIVE_BYTES = 65536
 
@@ -23,19 +23,19 @@
 
 
 class ClientObserver(Protocol):
-    """Who hears how a client fares: the load generator."""
+    """Receives the events of a client; implemented by the load generator."""
 
     def client_answered(self, client: SimulatedClient, answer: str) -> None:
-        """The client has its final answer, or will get none."""
+        """The client has received its final answer, or will not receive one."""
 
-    def client_closed(self, client: SimulatedClient, was_served: bool) -> None:
+    def client_closed(self, client: SimulatedClient, was_established: bool) -> None:
         """The client's connection is closed."""
 
 
 class SimulatedClient:
-    """A client's connection, on a non-blocking socket with the loop's readers and writers.
+    """A client's connection: a non-blocking socket with reader and writer callbacks of the event loop.
 
-    A task or a transport a client would cost too much to begin thousands of clients a second on one core.
+    A task or a transport per client would be too slow to start thousands of clients per second on one core.
     """
 
     __slots__ = (
@@ -45,7 +45,7 @@
         "_loop",
         "_observer",
         "_received",
-        "_served",
+        "_established",
         "_socket",
         "_timer",
     )
@@ -58,13 +58,13 @@
         self._observer = observer
         self._loop = loop
         self._received = b""
-        self._served = False
+        self._established = False
         self._timer: asyncio.TimerHandle | None = None
         self._socket: socket.socket | None = None
         self._descriptor = -1
 
     def connect(self, address: tuple[str, int]) -> bool:
-        """Begin to connect; False where this process has no socket left, which is counted as such."""
+        """Start to connect; return False, with the reason as the answer, if no socket can be created."""
         try:
             connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError as exc:
@@ -79,9 +79,9 @@
         self._timer = self._loop.call_later(timeout_seconds, self._end, NO_ANSWER)
         return True
 
-    def give_up(self) -> None:
-        """End the run for this client: one without its answer will get none."""
-        if not self._served:
+    def cancel(self) -> None:
+        """Close the connection at the end of the run; a missing answer is reported as `none`."""
+        if not self._established:
             self._observer.client_answered(self, NO_ANSWER)
         self._close()
 
@@ -92,7 +92,7 @@
             self._end(CONNECTION_REFUSED)
             return
         try:
-            self._socket.send(self._line)  # a fresh connection takes a line whole
+            self._socket.send(self._line)  # the send buffer of a new connection holds the whole line
         except OSError:
             self._end(CONNECTION_RESET)
             return
@@ -106,13 +106,13 @@
             return
         except OSError:
             data = b""
-        if self._served:
-            self._receive_while_served(data)
+        if self._established:
+            self._receive_while_established(data)
         else:
             self._receive_answer(data)
 
-    def _receive_while_served(self, data: bytes) -> None:
-        """Ignore lines; the connection ends with MOVE or when the other side ends it."""
+    def _receive_while_established(self, data: bytes) -> None:
+        """Ignore lines; close the connection after MOVE or when the node closes it."""
         if not data or b"MOVE" in data:
             self._close()
 
@@ -126,12 +126,12 @@
         words = line.split()
         answer = words[0].decode("ascii", "replace") if words else EMPTY_LINE
         if answer == "UP":
-            self._start_being_served()
+            self._establish()
         else:
             self._end(answer)
 
-    def _start_being_served(self) -> None:
-        self._served = True
+    def _establish(self) -> None:
+        self._established = True
         self._observer.client_answered(self, "UP")
         if self._timer:
             self._timer.cancel()
@@ -150,6 +150,6 @@
             self._loop.remove_writer(self._descriptor)
             self._socket.close()
             self._socket = None
-        was_served = self._served
-        self._served = False
-        self._observer.client_closed(self, was_served)
+        was_established = self._established
+        self._established = False
+        self._observer.client_closed(self, was_established)
--- a/limerudder/loadtest/trace.py
+++ b/limerudder/loadtest/trace.py
@@ -1,4 +1,4 @@
-"""Arrivals as files: CSV with a heading, or JSON Lines, by the file's suffix. Times are microseconds."""
+"""Files of arrivals: CSV with a header or, for other suffixes, JSON Lines. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from limerudder.loadtest.arrivals import MAX_ARRIVALS, Arrival, PlanError
 
-#: The columns of a trace, in the order of Arrival's fields.
+#: Columns of a trace, in the order of the fields of Arrival.
 TRACE_FIELDS = ("at", "cls", "tenant", "group", "life")
 CSV_SUFFIX = ".csv"
 
 
 class _Row(NamedTuple):
-    """A row of a trace, not checked yet."""
+    """A row of a trace that is not validated yet."""
 
     line_number: int
     values: Any
@@ -36,9 +36,9 @@
 
 
 def read_trace(path: Path) -> list[Arrival]:
-    """Return a file's arrivals in order of time.
+    """Return the arrivals in a file, sorted by time.
 
-    Raises PlanError, which names the line that cannot be read and what was expected there.
+    Raises PlanError with the number of the invalid line and the expected fields.
     """
     arrivals: list[Arrival] = []
     try:
@@ -49,7 +49,7 @@
     except OSError as exc:
         raise PlanError(f"cannot read {path}: {exc.strerror}") from exc
     except UnicodeDecodeError as exc:
-        raise PlanError(f"{path}: bytes that are no UTF-8") from exc
+        raise PlanError(f"{path}: bytes that are not valid UTF-8") from exc
     return sorted(arrivals)
 
 
@@ -77,11 +77,11 @@
     try:
         arrival = _arrival(row.values)
     except KeyError as exc:
-        raise PlanError(f"{place}: lacks {exc}; expected {', '.join(TRACE_FIELDS)}") from exc
+        raise PlanError(f"{place}: missing field {exc}; expected {', '.join(TRACE_FIELDS)}") from exc
     except (TypeError, ValueError, AttributeError) as exc:
         raise PlanError(f"{place}: {exc}; expected {', '.join(TRACE_FIELDS)}") from exc
     if arrival.at_us < 0 or arrival.lifetime_us < 0 or arrival.group < 0:
-        raise PlanError(f"{place}: a negative time or group")
+        raise PlanError(f"{place}: negative time or group")
     return arrival
 
 
--- a/tests/test_load_generator.py
+++ b/tests/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator: what it draws and counts; neither a stall nor its own lateness hides a client."""
+"""The load generator: the arrivals it draws and counts, also during a stall or when it is late itself."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def count_arrivals(arrivals: list[Arrival], begin_seconds: float, end_seconds: float) -> int:
-    """How many clients arrive in a span of time."""
+    """Return how many clients arrive within a period."""
     return sum(begin_seconds * SECOND <= arrival.at_us < end_seconds * SECOND for arrival in arrivals)
 
 
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("name", ["t.csv", "t.jsonl"])
-def test_a_trace_is_read_as_it_was_written_and_a_bad_line_is_named(tmp_path: Path, name: str) -> None:
+def test_a_trace_is_read_as_it_was_written_and_an_invalid_line_is_reported(tmp_path: Path, name: str) -> None:
     path = tmp_path / name
     arrivals = draw([Phase(2, 50)], [], Mix({"a": 1}, {"x": 1}, groups=3), 1)
     write_trace(path, arrivals)
@@ -88,8 +88,8 @@
         read_trace(tmp_path / "none.csv")
 
 
-def test_all_arrivals_of_a_stall_are_late_by_what_they_waited() -> None:
-    """A server that stalls for 2 s, on a simulated clock: exactly those that came meanwhile are late."""
+def test_all_arrivals_during_a_stall_have_its_delay_in_their_latency() -> None:
+    """A server stalls for 2 s on a simulated clock: exactly the arrivals during the stall are slow."""
     arrivals = draw([Phase(10, 500)], [], Mix(), 3)
     stall_begin_us = 4 * SECOND
     stall_end_us = 6 * SECOND
@@ -107,7 +107,7 @@
         histogram.record_answer("UP", answered_us - arrival.at_us)
     assert abs(histogram.count_slower_than(slow_us) - slow_in_stall) <= slow_in_stall / 100
     latency = histogram.summary()["latency_us"]
-    assert latency["p50"] < 1100 and latency["p99"] > 1_800_000, "p99 shows it"
+    assert latency["p50"] < 1100 and latency["p99"] > 1_800_000, "p99 shows the stall"
 
 
 def test_no_client_is_skipped_by_a_generator_that_is_slower_than_its_arrivals() -> None:
@@ -115,24 +115,24 @@
         host = StandInHost("h")
         await host.start()
         target = parse_address(host.address)
-        arrivals = [Arrival(0, "chat", "", 0, 10_000)] * 400  # all at one moment
+        arrivals = [Arrival(0, "chat", "", 0, 10_000)] * 400  # all at the same time
         generator = LoadGenerator(arrivals, [target])
         histogram = await generator.run()
         host.close()
         assert histogram.arrived == 400 == sum(histogram.answers.values())
         assert histogram.waiting == 0
         assert histogram.answers["UP"] == 400 == len(host.request_times)
-        assert histogram.late_arrivals > 0, "and it reports that it was late"
+        assert histogram.late_arrivals > 0, "the generator reports its lateness"
         max_latency = histogram.latency.get_max_value()
         max_lateness = histogram.generator_lateness.get_max_value()
         assert max_latency >= max_lateness * 0.99, "lateness counts as latency"
         assert not generator.clients
-        assert generator.served_count == 0
+        assert generator.established_count == 0
 
     uvloop.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_rejections_silence_and_a_halt_each_count_once(tmp_path: Path) -> None:
+def test_rejections_missing_answers_and_a_halt_each_count_once(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read()
@@ -167,10 +167,10 @@
 
     for args, message in [
         (["nowhere", "--phase", "1,1"], "nowhere"),
-        (["127.0.0.1:9"], "say --phase or --burst, or --trace"),
-        (["127.0.0.1:9", "--phase", "x"], "x stands here, expected SECONDS,RATE[,RATE]"),
+        (["127.0.0.1:9"], "give either --phase or --burst, or --trace"),
+        (["127.0.0.1:9", "--phase", "x"], "invalid value x, expected SECONDS,RATE[,RATE]"),
         (["127.0.0.1:9", "--phase", "1,-1"], "a rate of -1"),
-        (["127.0.0.1:9", "--phase", "1,1", "--class", "a=x"], "expected NAME=WEIGHT"),
+        (["127.0.0.1:9", "--phase", "1,1", "--class", "a=x"], "invalid value a=x, expected NAME=WEIGHT"),
         (["127.0.0.1:9", "--trace", str(tmp_path / "none.csv")], "cannot read"),
     ]:
         code, error = run(*args)
