--- a/tests/test_deployment_sites.py
+++ b/tests/test_deployment_sites.py
@@ -1,4 +1,4 @@
-"""The project's own variant deployments: readable, unlike each other, and known to nothing in the program."""
+"""The project's variant deployments: complete, different from each other, and not named in the program."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parents[1]
 SITES = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-# classes, members and machines of the customers' deployments, which the program may not know by name
+# Classes, members and machines of the customers' deployments; the program must not contain these names.
 CUSTOMER_NAMES = (
     "quebec",
     "palermo",
@@ -36,7 +36,7 @@
 
 
 def names(site: dict[str, Any]) -> set[str]:
-    """The names in a deployment, to which a program could be fitted."""
+    """Return the names in a deployment, for which a program could be special-cased."""
     listed = [entry["name"] for entry in (*site["class"], *site["tenant"], *site["tier"])]
     kinds = [kind["name"] for tier in site["tier"] for kind in tier["kind"]]
     return {site["name"], *listed, *kinds, *site["net"]["zones"]}
@@ -46,13 +46,13 @@
     return {traffic_class["deadline_ms"] for traffic_class in site["class"]}
 
 
-def test_there_are_two_and_one_polls_discovery_and_one_gets_its_list_pushed() -> None:
+def test_one_of_two_variants_polls_discovery_and_the_other_receives_pushed_lists() -> None:
     assert [read(path)["name"] for path in SITES] == [path.stem for path in SITES]
     assert sorted(read(path)["discovery"]["mode"] for path in SITES) == ["ask", "push"]
 
 
 @pytest.mark.parametrize("path", SITES, ids=lambda path: path.stem)
-def test_a_variant_deployment_is_complete_and_has_names_of_its_own(path: Path) -> None:
+def test_a_variant_deployment_is_complete_and_has_unique_names(path: Path) -> None:
     site = read(path)
     text = path.read_text().lower()
     assert not [name for name in CUSTOMER_NAMES if name in text]
@@ -66,7 +66,7 @@
         assert 0 < traffic_class["aim_ms"] < traffic_class["deadline_ms"]
 
 
-def test_the_variants_differ_in_what_the_program_might_take_for_granted() -> None:
+def test_the_variants_differ_in_settings_that_the_program_might_assume() -> None:
     first, second = (read(path) for path in SITES)
     for table, key in [
         ("allow", "peers"),
@@ -83,16 +83,16 @@
 
 
 def program_files() -> list[str]:
-    """The files of the program that are under version control."""
+    """Return the files of the program that are under version control."""
     command = ["git", "ls-files", "limerudder", "deploy/balancer.toml"]
     listed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     return listed.stdout.split()
 
 
-def test_nothing_in_the_program_is_fitted_to_a_deployment() -> None:
-    known_names = {name for path in SITES for name in names(read(path))} | set(CUSTOMER_NAMES)
+def test_the_program_contains_no_name_of_a_deployment() -> None:
+    deployment_names = {name for path in SITES for name in names(read(path))} | set(CUSTOMER_NAMES)
     files = program_files()
     assert files
     for file in files:
         text = (ROOT / file).read_text().lower()
-        assert not [name for name in known_names if name in text], file
+        assert not [name for name in deployment_names if name in text], file
