--- a/limerudder/store/raft/election.py
+++ b/limerudder/store/raft/election.py
@@ -18,29 +18,29 @@
 
 
 class Election:
-    """A member's election timer, its own candidacy, and its answers to other candidates."""
+    """A member's election timer, its own candidacy, and its replies to other candidates."""
 
     def __init__(self, state: RaftState, random: Random, now_us: int) -> None:
         self._state = state
         self._random = random
-        self._votes: dict[int, bool] = {}  # by voter: whether it was granted
-        # Long ago, so that a vote may be granted at once.
-        self.leader_heard_at_us = now_us - 2 * state.timing.election_timeout_us
+        self._votes: dict[int, bool] = {}  # voter id to whether the vote was granted
+        # Older than the leader lease, so that a vote may be granted immediately.
+        self.last_leader_contact_us = now_us - 2 * state.timing.election_timeout_us
         self.deadline_us = 0
         self.reset_timer(now_us)
 
     def reset_timer(self, now_us: int) -> None:
-        """Wait for a leader for one to two election timeouts, drawn anew (3.4)."""
+        """Set the deadline to a random one to two election timeouts from now (3.4)."""
         timeout_us = self._state.timing.election_timeout_us
         self.deadline_us = now_us + timeout_us + self._random.randrange(timeout_us)
 
-    # the member's own candidacy
+    # this member's candidacy
 
     def start_pre_vote(self, now_us: int) -> None:
-        """Ask the others whether they would vote for this member.
+        """Poll the other voters on whether they would vote for this member.
 
-        A member that was cut off does not disturb the leader when it is back: it keeps its term (9.6). The
-        caller records the member's own vote.
+        A partitioned member keeps its term this way and does not disturb the leader when it reconnects
+        (9.6). The caller records the member's own vote.
         """
         state = self._state
         state.set_role(RaftRole.PRE_CANDIDATE, NO_LEADER)
@@ -66,16 +66,16 @@
             state.send_after_write(voter_id, request)
 
     def accepts_reply(self, sender: int, message: RequestVoteReply) -> bool:
-        """Whether a reply belongs to the election or pre-vote that is going on."""
+        """Whether a reply belongs to the current election or pre-vote."""
         state = self._state
         expected_role = RaftRole.PRE_CANDIDATE if message.is_pre_vote else RaftRole.CANDIDATE
         if state.role != expected_role or sender not in state.log.config.voter_ids():
             return False
-        # A pre-vote is granted for the term that the election would have.
+        # A granted pre-vote carries the term of the election that would follow.
         return not (message.is_pre_vote and message.granted and message.term != state.term + 1)
 
     def record_vote(self, voter_id: int, granted: bool) -> ElectionResult:
-        """Count a vote or a refusal."""
+        """Count a granted or rejected vote."""
         self._votes[voter_id] = granted
         if self._state.is_majority(voter for voter, is_granted in self._votes.items() if is_granted):
             return ElectionResult.WON
@@ -86,24 +86,24 @@
     # other candidates
 
     def ignores_request(self, message: RequestVote, now_us: int) -> bool:
-        """Whether a candidate is not answered because there is a leader.
+        """Whether to ignore a candidate because there is a leader.
 
-        This keeps members that do not hear the leader from deposing it (4.2.3).
+        This keeps members that receive no heartbeats from deposing the leader (4.2.3).
         """
         state = self._state
-        lease_end_us = self.leader_heard_at_us + state.timing.election_timeout_us
+        lease_end_us = self.last_leader_contact_us + state.timing.election_timeout_us
         has_leader = state.is_leader or now_us < lease_end_us
         return has_leader and not message.is_leader_transfer and message.term > state.term
 
     def answer_pre_vote(self, sender: int, message: RequestVote) -> None:
-        """Say whether this member would vote for the sender."""
+        """Reply whether this member would vote for the sender."""
         state = self._state
         granted = message.term > state.term and self._is_up_to_date(message)
         term = message.term if granted else state.term
         state.send_after_write(sender, RequestVoteReply(term, granted, is_pre_vote=True))
 
     def answer_vote(self, sender: int, message: RequestVote, now_us: int) -> None:
-        """Vote for the sender, or refuse to. A newer term has been adopted before."""
+        """Grant or reject a vote. The caller has already adopted a newer term."""
         state = self._state
         can_vote = state.voted_for in (NO_LEADER, sender) and state.leader_id == NO_LEADER
         granted = message.term == state.term and can_vote and self._is_up_to_date(message)
--- a/limerudder/store/raft/errors.py
+++ b/limerudder/store/raft/errors.py
@@ -1,19 +1,19 @@
-"""Errors that the consensus package raises."""
+"""Exceptions of the consensus package."""
 
 from __future__ import annotations
 
 
 class RaftError(Exception):
-    """Base class of this package's errors."""
+    """Base class of this package's exceptions."""
 
 
 class NotLeaderError(RaftError):
-    """Only the leader can do this; `leader` is its member id as far as known, or `NO_LEADER`."""
+    """The operation requires the leader; `leader` is its member id, or `NO_LEADER` if unknown."""
 
     def __init__(self, leader: int) -> None:
-        super().__init__("this member does not lead")
+        super().__init__("this member is not the leader")
         self.leader = leader
 
 
 class MembershipChangeError(RaftError):
-    """The configuration cannot be changed in this way, or not now; the text says why."""
+    """The configuration change is invalid or not possible now; the message states the reason."""
--- a/limerudder/store/raft/leader.py
+++ b/limerudder/store/raft/leader.py
@@ -1,4 +1,4 @@
-"""A leader's duties: requests, replication, commits, reads and changes of the configuration."""
+"""The leader: requests, replication, commits, reads and configuration changes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from limerudder.store.raft import membership
 from limerudder.store.raft.errors import MembershipChangeError, NotLeaderError
-from limerudder.store.raft.leadership import LeadershipTransfer, QuorumCheck, nominate_successor
+from limerudder.store.raft.leadership import LeadershipTransfer, QuorumCheck, request_successor_election
 from limerudder.store.raft.messages import (
     AppendEntriesReply,
     ClusterConfig,
@@ -23,9 +23,9 @@
 
 
 class Leader:
-    """What a member does while it leads. Requests raise NotLeaderError on a member that does not.
+    """The leader role of a member. Requests raise NotLeaderError on a member that is not the leader.
 
-    `step_down` makes the member a follower of nobody in the same term; it ends in a call of `end_term`.
+    `step_down` makes the member a follower without a leader in the same term, and calls `end_term`.
     """
 
     def __init__(self, state: RaftState, step_down: Callable[[int], None]) -> None:
@@ -38,17 +38,17 @@
         self._replicator = Replicator(state, self._snapshot_sender)
 
     def begin_term(self, now_us: int) -> None:
-        """The member has been elected."""
+        """Initialize the leader state after an election."""
         state = self._state
         state.progress = {}
         state.term_start_index = state.log.last_index + 1
         self._quorum_check.start(now_us)
         membership.update_peers(state, now_us)
-        self._append(EntryKind.EMPTY, [b""], now_us)  # lets entries of earlier terms be committed (3.6.2)
+        self._append(EntryKind.EMPTY, [b""], now_us)  # required to commit entries of earlier terms (3.6.2)
         state.heartbeat_requested = True
 
     def end_term(self) -> None:
-        """The member does not lead any more."""
+        """Clear the leader state after the loss of leadership."""
         self._reads.abort_all()
         self._transfer.cancel()
         self._state.progress = {}
@@ -56,15 +56,15 @@
     # time and output
 
     def next_deadline_us(self) -> int:
-        """When `tick` must be called at the latest."""
+        """The latest time of the next `tick` call."""
         quorum_check_us = self._quorum_check.deadline_us
         heartbeat_us = self._replicator.next_heartbeat_us()
         return quorum_check_us if heartbeat_us is None else min(quorum_check_us, heartbeat_us)
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Run the checks and heartbeats that are due."""
         if self._state.is_disk_stalled(now_us):
-            # The followers would be content with the heartbeats of a leader that can append nothing.
+            # Heartbeats alone would keep the followers from electing a leader that can still write.
             self.transfer_to_best_follower(now_us)
             self._step_down(now_us)
             return
@@ -76,7 +76,7 @@
         self._promote_caught_up_member(now_us)
 
     def send_pending(self, now_us: int) -> None:
-        """Send the heartbeat that was requested, and the entries that the followers lack."""
+        """Send a requested heartbeat, and the entries that the followers lack."""
         state = self._state
         if state.heartbeat_requested:
             state.heartbeat_requested = False
@@ -87,7 +87,7 @@
 
     def _broadcast_heartbeat(self, now_us: int) -> None:
         self._replicator.send_heartbeats(now_us)
-        self._reads.confirm()  # a cluster of one needs no answers
+        self._reads.confirm()  # a single-member cluster needs no replies
 
     # requests
 
@@ -101,7 +101,7 @@
         return first_index, self._state.term
 
     def request_read(self) -> int:
-        """Begin a linearizable read (6.4) and return its id."""
+        """Start a linearizable read (6.4) and return its id."""
         self._require_leader()
         return self._reads.request()
 
@@ -120,7 +120,7 @@
     def transfer_leadership(self, target_id: int, now_us: int) -> None:
         """Transfer leadership to another voter (3.10).
 
-        Raises MembershipChangeError if the target has no vote.
+        Raises MembershipChangeError if the target is not a voter.
         """
         self._require_leader()
         if target_id not in self._state.log.config.voter_ids():
@@ -129,7 +129,7 @@
             self._transfer.start(target_id, now_us)
 
     def transfer_to_best_follower(self, now_us: int) -> bool:
-        """Transfer leadership to the voter with the longest log; returns whether there is one."""
+        """Transfer leadership to the responsive voter with the longest log; returns whether there is one."""
         target_id = self._transfer.best_target()
         if not self._state.is_leader or target_id == NO_LEADER:
             return False
@@ -150,11 +150,11 @@
         if kind == EntryKind.CONFIG:
             membership.update_peers(state, now_us)
 
-    # answers of followers
+    # replies of followers
 
     def on_append_reply(self, sender: int, message: AppendEntriesReply, now_us: int) -> None:
-        """A follower has answered an append or a heartbeat, or has installed a snapshot."""
-        progress = self._record_answer(sender, message.read_round, now_us)
+        """Handle the reply to an append or heartbeat, or the confirmation of an installed snapshot."""
+        progress = self._record_reply(sender, message.read_round, now_us)
         if progress is None or not self._replicator.on_reply(progress, message):
             return
         self.advance_commit(now_us)
@@ -163,13 +163,13 @@
             self._transfer.complete_if_caught_up()
 
     def on_snapshot_reply(self, sender: int, message: InstallSnapshotReply, now_us: int) -> None:
-        """A follower says how much of a snapshot it holds."""
-        progress = self._record_answer(sender, message.read_round, now_us)
+        """Handle a follower's report of the snapshot chunks that it has received."""
+        progress = self._record_reply(sender, message.read_round, now_us)
         if progress is not None:
             self._snapshot_sender.on_reply(progress, message)
 
-    def _record_answer(self, sender: int, read_round: int, now_us: int) -> Progress | None:
-        """Note that a member has answered; returns its progress, or None for one that is not a follower."""
+    def _record_reply(self, sender: int, read_round: int, now_us: int) -> Progress | None:
+        """Record that a member has replied; returns its progress, or None if it is not a follower."""
         progress = self._state.progress.get(sender)
         if progress is None:
             return None
@@ -183,7 +183,7 @@
     # commits
 
     def advance_commit(self, now_us: int) -> None:
-        """Commit what a majority holds, and do what waited for it."""
+        """Commit the entries that a majority has stored, and run the actions that depend on the commit."""
         state = self._state
         previous_index = state.commit_index
         if not self._replicator.advance_commit():
@@ -195,10 +195,10 @@
             self._step_down_after_removal(now_us)
 
     def _step_down_after_removal(self, now_us: int) -> None:
-        """A leader that was removed leads until its removal is committed, and no longer (4.2.2)."""
+        """End the leadership of a removed leader, which lasts until its removal is committed (4.2.2)."""
         self._replicator.send_entries_to_all(now_us)
-        self._broadcast_heartbeat(now_us)  # the others learn that the removal is committed
-        nominate_successor(self._state)
+        self._broadcast_heartbeat(now_us)  # propagates the commit of the removal
+        request_successor_election(self._state)
         self._step_down(now_us)
 
     def _promote_caught_up_member(self, now_us: int) -> None:
--- a/limerudder/store/raft/leadership.py
+++ b/limerudder/store/raft/leadership.py
@@ -1,4 +1,4 @@
-"""How a leader gives up its office: the quorum check (6.2) and the transfer to another member (3.10)."""
+"""The end of leadership: the quorum check (6.2) and the transfer to another member (3.10)."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class QuorumCheck:
-    """A leader steps down if no majority has answered it for an election timeout (6.2).
+    """Makes a leader step down if no majority has replied within an election timeout (6.2).
 
-    Clients of a leader that is cut off would otherwise wait for it in vain.
+    Clients of a partitioned leader would otherwise wait until their requests time out.
     """
 
     def __init__(self, state: RaftState) -> None:
@@ -17,11 +17,11 @@
         self.deadline_us = 0
 
     def start(self, now_us: int) -> None:
-        """Give the followers an election timeout from now on."""
+        """Begin a new period of one election timeout."""
         self.deadline_us = now_us + self._state.timing.election_timeout_us
 
     def has_failed(self, now_us: int) -> bool:
-        """Whether the time is up without a majority; begins the next period if it is up."""
+        """Whether the period ended without replies from a majority; begins the next period when one ends."""
         if now_us < self.deadline_us:
             return False
         self.start(now_us)
@@ -33,7 +33,7 @@
 
 
 class LeadershipTransfer:
-    """A transfer of leadership to a voter, which takes no proposals while it lasts (3.10)."""
+    """A transfer of leadership to a voter. The leader rejects proposals during the transfer (3.10)."""
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
@@ -52,16 +52,16 @@
         self.complete_if_caught_up()
 
     def cancel(self) -> None:
-        """Lead on, or forget the transfer after the end of the term."""
+        """Cancel the transfer, to remain the leader or because the term has ended."""
         self.target_id = NO_LEADER
 
     def cancel_if_expired(self, now_us: int) -> None:
-        """Lead on if the target has not taken over within an election timeout."""
+        """Cancel the transfer if the target has not become leader within an election timeout."""
         if self.in_progress and now_us >= self._deadline_us:
             self.cancel()
 
     def complete_if_caught_up(self) -> None:
-        """Ask the target to start an election if it has the whole log."""
+        """Request an election from the target if its log is complete."""
         state = self._state
         progress = state.progress.get(self.target_id)
         if progress and progress.match_index == state.log.last_index:
@@ -79,10 +79,10 @@
         return max(candidates)[1] if candidates else NO_LEADER
 
 
-def nominate_successor(state: RaftState) -> None:
-    """Let a voter that has the whole log start an election at once, if there is one.
+def request_successor_election(state: RaftState) -> None:
+    """Request an immediate election from a voter with a complete log, if there is one.
 
-    For a leader that has been removed from the configuration: the cluster need not wait for a timeout.
+    Called by a leader that has been removed from the configuration, to save the election timeout.
     """
     voters = state.log.config.voter_ids()
     candidates = [
--- a/limerudder/store/raft/log.py
+++ b/limerudder/store/raft/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: the entries after its base, and the configurations in force in it."""
+"""The replicated log in memory: the entries after its base, and the configurations that they contain."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
         self.last_index = base_index
         self.entries: list[Entry] = []
         self.size_bytes = 0
-        self._configs: list[tuple[int, ClusterConfig]] = [(base_index, config)]  # each with its entry's index
+        self._configs: list[tuple[int, ClusterConfig]] = [
+            (base_index, config)
+        ]  # (entry index, configuration)
 
     @property
     def last_term(self) -> int:
@@ -30,11 +32,11 @@
 
     @property
     def config_index(self) -> int:
-        """The index of the entry that holds the latest configuration."""
+        """The index of the entry with the latest configuration."""
         return self._configs[-1][0]
 
     def config_at(self, index: int) -> ClusterConfig:
-        """The configuration in force at an entry, which must not be before `base_index`."""
+        """The configuration that is active at an entry; `index` must be at least `base_index`."""
         return next(config for config_index, config in reversed(self._configs) if config_index <= index)
 
     def term_at(self, index: int) -> int | None:
@@ -50,7 +52,7 @@
         return self.entries[index - self.base_index - 1]
 
     def entries_from(self, first_index: int, max_bytes: int, max_entries: int) -> tuple[Entry, ...]:
-        """Entries from `first_index` on within both limits, but at least one where there is one."""
+        """Entries from `first_index` on within both limits, but at least one if any exist."""
         start = first_index - self.base_index - 1
         selected: list[Entry] = []
         remaining_bytes = max_bytes
@@ -101,9 +103,9 @@
         self._configs = [(index, config), *later_configs]
 
     def find_conflict_by_term(self, index: int, term: int) -> int:
-        """The last index up to `index` whose term is at most `term`: two logs can match no further.
+        """The last index up to `index` whose term is at most `term`; two logs cannot match beyond it.
 
-        Skips a whole term in one round trip, as section 5.3 of the Raft paper proposes and etcd does.
+        Skips a whole term in one round trip, as proposed in section 5.3 of the Raft paper and done by etcd.
         """
         index = min(index, self.last_index)
         while index > self.base_index and (self.term_at(index) or 0) > term:
--- a/limerudder/store/raft/membership.py
+++ b/limerudder/store/raft/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the cluster's configuration, one voter at a time (chapter 4)."""
+"""Cluster configuration changes, one voter at a time (chapter 4)."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def check_change(state: RaftState, config: ClusterConfig) -> None:
-    """Raise MembershipChangeError if the leader must not propose this configuration now."""
+    """Raise MembershipChangeError if the leader must not propose this configuration at present."""
     voters_before = state.log.config.voter_ids()
     voters_after = config.voter_ids()
     if state.log.config_index > state.commit_index:
         raise MembershipChangeError("another change is under way")
     if not state.has_committed_in_term:
-        # Otherwise an earlier leader's uncommitted change could be lost (Ongaro, raft-dev, 10 July 2015).
+        # An earlier leader's uncommitted change could be lost otherwise (Ongaro, raft-dev, 10 July 2015).
         raise MembershipChangeError("this leader has committed nothing yet")
     if len(voters_before ^ voters_after) > 1:
         raise MembershipChangeError("one voter at a time may come or go")
@@ -24,7 +24,7 @@
 
 
 def update_peers(state: RaftState, now_us: int) -> None:
-    """Track the progress of exactly the other members of the leader's configuration."""
+    """Synchronize the tracked progress with the other members of the leader's configuration."""
     member_ids = {member.id for member in state.log.config.members}
     heartbeat_is_due_us = now_us - state.timing.heartbeat_interval_us
     for member_id in member_ids - state.progress.keys() - {state.member_id}:
@@ -34,7 +34,7 @@
 
 
 def promote_caught_up_member(state: RaftState) -> ClusterConfig | None:
-    """The configuration in which a joining member that has caught up is a voter (4.2.1), or None."""
+    """The configuration that promotes a caught-up joining member to voter (4.2.1), or None."""
     is_change_allowed = state.log.config_index <= state.commit_index and state.has_committed_in_term
     if not is_change_allowed:
         return None
--- a/limerudder/store/raft/messages.py
+++ b/limerudder/store/raft/messages.py
@@ -1,7 +1,7 @@
 """Raft's messages, log entries, snapshots and cluster configurations.
 
-All of them are immutable and are encoded by msgspec as MessagePack arrays, on the wire and on disk: the
-order of their fields and the tags are part of both formats, the names are not.
+All types are immutable and are encoded by msgspec as MessagePack arrays, on the wire and on disk. Field order
+and tags are part of both formats; field names are not.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 
 import msgspec
 
-ENTRY_OVERHEAD_BYTES = 24  #: of an entry besides its data, about
+ENTRY_OVERHEAD_BYTES = 24  #: Approximate encoded size of an entry without its data
 
 
 class EntryKind(IntEnum):
-    """What an entry holds."""
+    """The type of an entry's data."""
 
-    DATA = 0  #: a command for the state machine
-    CONFIG = 1  #: the cluster configuration from this entry on
-    EMPTY = 2  #: a new leader's first entry
+    DATA = 0  #: Command for the state machine
+    CONFIG = 1  #: Cluster configuration that is active from this entry on
+    EMPTY = 2  #: First entry of a new leader
 
 
 class MemberRole(IntEnum):
-    """A member's part in the cluster."""
+    """A member's role in the cluster configuration."""
 
     VOTER = 0
-    JOINING = 1  #: receives the log without a vote, and becomes a voter once it has caught up (4.2.1)
-    LEARNER = 2  #: receives the log and never has a vote
+    JOINING = 1  #: Receives the log without a vote; becomes a voter once it has caught up (4.2.1)
+    LEARNER = 2  #: Receives the log and never votes
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A member. Its id is drawn at random together with its disk and is never used with another disk."""
+    """A cluster member. Its random id is created together with its disk and never reused with another."""
 
     id: int
     name: str
@@ -74,11 +74,11 @@
 class SnapshotMeta(msgspec.Struct, frozen=True, array_like=True):
     """Describes and identifies a snapshot: equal metadata means equal bytes."""
 
-    index: int  #: of the last entry that the snapshot covers
-    term: int  #: of that entry
+    index: int  #: Index of the last entry that the snapshot covers
+    term: int  #: Term of the last entry that the snapshot covers
     config: ClusterConfig
     chunk_count: int
-    digest: int  #: see `snapshot_digest`
+    digest: int  #: Checksum computed by `snapshot_digest`
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
@@ -89,7 +89,7 @@
 
 
 def snapshot_digest(chunks: Sequence[bytes]) -> int:
-    """The CRC-32 over all chunks, which together with the index identifies a snapshot."""
+    """The CRC-32 of all chunks. Digest and index together identify a snapshot."""
     checksum = 0
     for chunk in chunks:
         checksum = crc32(chunk, checksum)
@@ -103,16 +103,16 @@
 
 
 class RequestVote(Message, frozen=True, array_like=True, tag="Vote"):
-    """Asks for a vote (3.4)."""
+    """Request for a vote (3.4)."""
 
     last_log_index: int
     last_log_term: int
-    is_pre_vote: bool  #: asks only whether the vote would be given (9.6)
-    is_leader_transfer: bool  #: the leader has asked for this election (3.10)
+    is_pre_vote: bool  #: Only queries whether the vote would be granted (9.6)
+    is_leader_transfer: bool  #: The leader has requested this election (3.10)
 
 
 class RequestVoteReply(Message, frozen=True, array_like=True, tag="Voted"):
-    """The answer to `RequestVote`."""
+    """The reply to `RequestVote`."""
 
     granted: bool
     is_pre_vote: bool
@@ -125,14 +125,14 @@
     prev_log_term: int
     entries: tuple[Entry, ...]
     leader_commit: int
-    read_round: int  #: returned with the answer: confirms reads (6.4)
+    read_round: int  #: Echoed in the reply to confirm reads (6.4)
 
 
 class AppendEntriesReply(Message, frozen=True, array_like=True, tag="Appended"):
-    """The answer to `AppendEntries`.
+    """The reply to `AppendEntries`.
 
-    With `success` the log matches the leader's up to `index`. Without it, it does not at `index`; it may up
-    to `hint_index`, whose term is `hint_term`.
+    If `success` is true, the log matches the leader's up to `index`. Otherwise it does not match at `index`,
+    but may match up to `hint_index`, whose term is `hint_term`.
     """
 
     success: bool
@@ -143,7 +143,7 @@
 
 
 class InstallSnapshotChunk(Message, frozen=True, array_like=True, tag="Piece"):
-    """One chunk of a snapshot; without data it asks how many chunks the receiver already holds (5.4)."""
+    """One chunk of a snapshot; empty data queries how many chunks have been received (5.4)."""
 
     meta: SnapshotMeta
     chunk_number: int
@@ -152,16 +152,16 @@
 
 
 class InstallSnapshotReply(Message, frozen=True, array_like=True, tag="PieceHeld"):
-    """How many chunks of that snapshot the receiver holds, from the first on without a gap."""
+    """The number of chunks received of a snapshot, from the first one on without gaps."""
 
     snapshot_index: int
     snapshot_digest: int
-    chunks_held: int
+    chunks_received: int
     read_round: int
 
 
 class TimeoutNow(Message, frozen=True, array_like=True, tag="TakeOver"):
-    """The leader asks the receiver to start an election at once (3.10)."""
+    """The leader's request that the receiver start an election immediately (3.10)."""
 
 
 RaftMessage = (
@@ -179,10 +179,10 @@
 
 
 def encode_config(config: ClusterConfig) -> bytes:
-    """The data of a configuration entry."""
+    """Encode a configuration as the data of an entry."""
     return _encode(config)
 
 
 def decode_config(data: bytes) -> ClusterConfig:
-    """The configuration in an entry's data; raises msgspec.DecodeError if it is malformed."""
+    """Decode the configuration in an entry's data; raises msgspec.DecodeError if it is malformed."""
     return _config_decoder.decode(data)
--- a/limerudder/store/raft/output.py
+++ b/limerudder/store/raft/output.py
@@ -1,4 +1,4 @@
-"""What a member asks its driver to do."""
+"""The output that a member's driver has to process."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Envelope(NamedTuple):
-    """A message and the member it goes to."""
+    """A message and the id of its recipient."""
 
     recipient: int
     message: RaftMessage
 
 
 class ConfirmedRead(NamedTuple):
-    """A read that may be answered once the entry at `read_index` has been applied."""
+    """A read that can be served once the entry at `read_index` has been applied."""
 
     read_id: int
     read_index: int
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class RaftOutput:
-    """Work for the driver, like `Ready` in etcd's raft; `raft.py` says in which order it is carried out."""
+    """Work for the driver, like `Ready` in etcd's raft; `raft.py` documents the order of execution."""
 
     messages: list[Envelope] = field(default_factory=list)
     write: RaftWrite | None = None
@@ -33,10 +33,10 @@
     installed_snapshot: Snapshot | None = None
     committed_entries: list[Entry] = field(default_factory=list)
     confirmed_reads: list[ConfirmedRead] = field(default_factory=list)
-    aborted_reads: list[int] = field(default_factory=list)  # ids of reads that cannot be answered any more
+    aborted_reads: list[int] = field(default_factory=list)  # ids of reads that can no longer be served
 
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether there is no work for the driver."""
         return not (
             self.messages
             or self.write
--- a/limerudder/store/raft/persistence.py
+++ b/limerudder/store/raft/persistence.py
@@ -1,4 +1,4 @@
-"""Records of what a member keeps on its disk: what it starts from, and the writes that it asks for."""
+"""Records of a member's durable state: the state that it starts from, and the writes that it requests."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class HardState(NamedTuple):
-    """The term and the vote in it, which must be durable before any message that depends on them leaves."""
+    """The term and the vote in it; both must be durable before a message that depends on them is sent."""
 
     term: int
     voted_for: int
 
 
 class SnapshotChunk(NamedTuple):
-    """One chunk of a snapshot that is being received."""
+    """One received chunk of an incomplete snapshot."""
 
     meta: SnapshotMeta
     number: int
@@ -25,7 +25,7 @@
 
 
 class IncomingSnapshot(NamedTuple):
-    """A snapshot that has been received in part: its chunks from the first on, without a gap."""
+    """A partially received snapshot: its chunks from the first one on, without gaps."""
 
     meta: SnapshotMeta
     chunks: tuple[bytes, ...]
@@ -33,23 +33,23 @@
 
 @dataclass(slots=True)
 class RaftWrite:
-    """Changes that must become durable together."""
+    """Changes that must become durable atomically."""
 
     number: int
     hard_state: HardState | None = None
-    truncate_from: int | None = None  # entries from here on are deleted before `entries` are added
+    truncate_from: int | None = None  # first index to delete before `entries` are added
     entries: tuple[Entry, ...] = ()
     snapshot_chunks: tuple[SnapshotChunk, ...] = ()
-    install_snapshot: SnapshotMeta | None = None  # all its chunks are written: it replaces the snapshot
-    keep_log_suffix: bool = False  # entries after the installed snapshot are kept
+    install_snapshot: SnapshotMeta | None = None  # a complete snapshot that replaces the old one
+    keep_log_suffix: bool = False  # entries after the installed snapshot are retained
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """Everything durable that a member starts with."""
+    """The durable state that a member starts from."""
 
     hard_state: HardState
     snapshot: Snapshot | None
     entries: Sequence[Entry]
-    initial_config: ClusterConfig  # used only where there is no snapshot, which holds its own
+    initial_config: ClusterConfig  # used only without a snapshot, which contains its own
     incoming_snapshot: IncomingSnapshot | None = None
--- a/limerudder/store/raft/raft.py
+++ b/limerudder/store/raft/raft.py
@@ -1,15 +1,15 @@
-"""One member's part in the consensus protocol.
+"""The consensus protocol of one member.
 
-The driver tells it what happens (`receive`, `tick`, `on_write_durable`) and asks what to do (`take_output`).
-It does no I/O and reads no clock: every call brings the time, in microseconds of a monotonic clock. All
-randomness comes from the `Random` that it is given, so that a run can be replayed.
+The driver reports events (`receive`, `tick`, `on_write_durable`) and collects the resulting work
+(`take_output`). This module does no I/O and reads no clock: every call passes the time, in microseconds of a
+monotonic clock. All randomness comes from the `Random` passed in, so that a run can be replayed.
 
-The driver has to carry out the `RaftOutput`s in their order, and each as follows:
+The driver must process the `RaftOutput`s in order, each as follows:
 
-1. Send `messages` at once.
+1. Send `messages` immediately.
 2. Make `write` durable, atomically and after all earlier writes. Then send `messages_after_write` and call
-   `on_write_durable`. An output that has `messages_after_write` but no write waits for the earlier writes.
-3. Give `installed_snapshot` and then `committed_entries` to the state machine, in order.
+   `on_write_durable`. `messages_after_write` without a `write` must wait for the earlier writes.
+3. Pass `installed_snapshot` and then `committed_entries` to the state machine, in order.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class Raft:
-    """Owns a member's state, routes messages and time to the parts of the protocol, and changes the role."""
+    """Owns a member's state, routes messages and time to the protocol's parts, and changes the role."""
 
     def __init__(
         self,
@@ -60,14 +60,14 @@
     # output and durability
 
     def take_output(self, now_us: int) -> RaftOutput | None:
-        """What the driver has to do since the last call, or None if there is nothing."""
+        """Return the driver's work since the last call, or None if there is none."""
         state = self._state
         if state.is_leader or state.heartbeat_requested:
             self._leader.send_pending(now_us)
         return state.take_output(now_us)
 
     def on_write_durable(self, number: int, now_us: int) -> None:
-        """All writes up to this one are durable."""
+        """Process the completion of all writes up to this one."""
         state = self._state
         while write := state.writes.complete_next(number, state.log.last_index):
             if write.self_vote_term == state.term and state.role == RaftRole.CANDIDATE:
@@ -76,19 +76,19 @@
             self._leader.advance_commit(now_us)
 
     def compact(self, snapshot: Snapshot, keep_entries: int) -> None:
-        """A snapshot of this member is durable: delete the entries it covers, except the last ones (5.1)."""
+        """Delete the entries that a durable snapshot covers, except the last `keep_entries` (5.1)."""
         compact_log(self._state, snapshot, keep_entries)
 
     # time
 
     def next_deadline_us(self) -> int:
-        """When `tick` must be called at the latest."""
+        """The latest time of the next `tick` call."""
         if self._state.is_leader:
             return self._leader.next_deadline_us()
         return self._election.deadline_us
 
     def tick(self, now_us: int) -> None:
-        """Do what is due."""
+        """Run the timers that are due."""
         state = self._state
         if state.is_leader:
             self._leader.tick(now_us)
@@ -104,12 +104,12 @@
     def propose(self, commands: Sequence[bytes], now_us: int) -> tuple[int, int]:
         """Append commands to the log; returns the index of the first one and the term.
 
-        Raises NotLeaderError also while leadership is being transferred.
+        Also raises NotLeaderError during a leadership transfer.
         """
         return self._leader.propose(commands, now_us)
 
     def request_read(self) -> int:
-        """Begin a linearizable read (6.4) and return its id; an output reports it as confirmed or aborted."""
+        """Start a linearizable read (6.4) and return its id; an output reports it as confirmed or aborted."""
         return self._leader.request_read()
 
     def propose_config(self, config: ClusterConfig, now_us: int) -> int:
@@ -122,18 +122,18 @@
     def transfer_leadership(self, target_id: int, now_us: int) -> None:
         """Transfer leadership to another voter (3.10).
 
-        Raises MembershipChangeError if the target has no vote.
+        Raises MembershipChangeError if the target is not a voter.
         """
         self._leader.transfer_leadership(target_id, now_us)
 
     def transfer_to_best_follower(self, now_us: int) -> bool:
-        """Transfer leadership before a planned stop; returns False if this member cannot."""
+        """Transfer leadership before a planned stop; returns False if that is not possible."""
         return self._leader.transfer_to_best_follower(now_us)
 
     # messages
 
     def receive(self, sender: int, message: RaftMessage, now_us: int) -> None:
-        """Handle a message from a member, or from a process that takes itself for one."""
+        """Handle a message, whose sender is not necessarily a member of the current configuration."""
         if isinstance(message, RequestVote):
             self._on_request_vote(sender, message, now_us)
             return
@@ -159,9 +159,9 @@
                 self._on_timeout_now(now_us)
 
     def _on_outdated_message(self, sender: int, message: RaftMessage) -> None:
-        """Tell a leader of an earlier term about the current one.
+        """Notify a leader of an earlier term of the current term.
 
-        Without an answer it would go on leading, and a member with a later term would never follow it.
+        Without a reply it would continue to lead, and a member with a later term would never follow it.
         """
         if isinstance(message, AppendEntries | InstallSnapshotChunk):
             reply = AppendEntriesReply(self._state.term, False, 0, 0, 0, 0)
@@ -172,7 +172,7 @@
     ) -> None:
         state = self._state
         assert not state.is_leader, "two leaders in one term"
-        self._election.leader_heard_at_us = now_us
+        self._election.last_leader_contact_us = now_us
         if state.role != RaftRole.FOLLOWER or state.leader_id != sender:
             self._become_follower(state.term, sender, now_us)
         self._election.reset_timer(now_us)
@@ -228,7 +228,7 @@
             self._election.reset_timer(now_us)
         state.set_role(RaftRole.FOLLOWER, leader_id)
 
-    # what is known
+    # state
 
     @property
     def member_id(self) -> int:
@@ -252,7 +252,7 @@
 
     @property
     def leader_id(self) -> int:
-        """The leader of the term as far as known, or NO_LEADER."""
+        """The leader of the term, or NO_LEADER if unknown."""
         return self._state.leader_id
 
     @property
@@ -267,34 +267,34 @@
 
     @property
     def incoming_snapshot(self) -> IncomingSnapshot | None:
-        """What has been received of a snapshot that is not complete."""
+        """The partially received snapshot, or None."""
         return self._snapshot_receiver.incoming
 
     @property
     def commit_index(self) -> int:
-        """The index of the last entry that is known to be committed."""
+        """The highest index that this member has learned to be committed."""
         return self._state.commit_index
 
     @property
     def durable_index(self) -> int:
-        """The index of the last entry that is durable at this member."""
+        """The index of the last entry that is durable on this member."""
         return self._state.writes.durable_index
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether this leader has committed an entry of its own term, and so knows what is committed."""
+        """Whether this leader has committed an entry of its own term, so that its commit index is current."""
         return self._state.has_committed_in_term
 
     @property
     def progress(self) -> Mapping[int, Progress]:
-        """What this leader knows of the other members, by their id; empty on other members."""
+        """The leader's view of the other members, by member id; empty if this member is not the leader."""
         return self._state.progress
 
     def is_disk_stalled(self, now_us: int) -> bool:
-        """Whether a write has been pending for longer than an election takes."""
+        """Whether a write has been pending for longer than the election timeout."""
         return self._state.is_disk_stalled(now_us)
 
 
 def _is_granted_pre_vote(message: RaftMessage) -> bool:
-    """Whether a message's term is only the one that an election would have."""
+    """Whether the message is a granted pre-vote, whose term is that of a possible election."""
     return isinstance(message, RequestVoteReply) and message.is_pre_vote and message.granted
--- a/limerudder/store/raft/reads.py
+++ b/limerudder/store/raft/reads.py
@@ -12,30 +12,30 @@
 class _PendingRead(NamedTuple):
     read_id: int
     read_index: int  # the commit index when the read was requested
-    round: int  # a majority has to answer a message of this round or a later one
+    round: int  # a majority must reply to a message of this round or a later one
 
 
 class ReadIndex:
-    """The leader's reads that wait until a majority has confirmed its leadership.
+    """Reads that wait until a majority has confirmed this member's leadership.
 
-    Every message to a follower carries the number of the current round, and the follower returns it. A read
-    belongs to a round of which nothing had been sent when the read was requested: a majority's answers to
-    that round prove that no later leader had committed anything before the request.
+    Every message to a follower carries the number of the current round, which the follower echoes. A read is
+    assigned to a round of which no message has been sent yet: replies of a majority to that round prove that
+    no later leader had committed anything before the read was requested.
     """
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
         self._next_id = 1
         self._round_is_unsent = False
-        self._pending: deque[_PendingRead] = deque()  # in the order of their rounds
-        self._waiting_for_commit: list[int] = []  # ids of reads before the leader's first entry is committed
+        self._pending: deque[_PendingRead] = deque()  # ordered by round
+        self._waiting_for_commit: list[int] = []  # ids of reads requested before the first commit
 
     def request(self) -> int:
-        """Begin a read and return its id; the output reports it as confirmed or aborted."""
+        """Start a read and return its id; the output reports it as confirmed or aborted."""
         read_id = self._next_id
         self._next_id += 1
         if not self._state.has_committed_in_term:
-            # An earlier leader may have committed entries that this one does not know to be committed.
+            # An earlier leader may have committed entries beyond this leader's commit index.
             self._waiting_for_commit.append(read_id)
         else:
             self._start(read_id)
@@ -50,17 +50,17 @@
         self._pending.append(_PendingRead(read_id, state.commit_index, state.read_round))
 
     def start_waiting(self) -> None:
-        """Start the reads that waited for the leader's first entry, which is committed now."""
+        """Start the waiting reads after the commit of the leader's first entry."""
         for read_id in self._waiting_for_commit:
             self._start(read_id)
         self._waiting_for_commit = []
 
     def mark_round_sent(self) -> None:
-        """Messages of the current round are being sent: later reads need another round."""
+        """Record that messages of the current round are being sent; later reads need a new round."""
         self._round_is_unsent = False
 
     def confirm(self) -> None:
-        """Report the reads whose round a majority has answered."""
+        """Report the reads whose round has replies from a majority."""
         state = self._state
         while self._pending:
             read = self._pending[0]
@@ -75,7 +75,7 @@
             state.output.confirmed_reads.append(ConfirmedRead(read.read_id, read.read_index))
 
     def abort_all(self) -> None:
-        """Report all reads as aborted: this member does not lead any more."""
+        """Report all reads as aborted after the loss of leadership."""
         aborted = self._state.output.aborted_reads
         aborted.extend(read.read_id for read in self._pending)
         aborted.extend(self._waiting_for_commit)
--- a/limerudder/store/raft/replication.py
+++ b/limerudder/store/raft/replication.py
@@ -1,4 +1,4 @@
-"""Log replication (3.5): the leader's appends, heartbeats and commits, and the follower's answers."""
+"""Log replication (3.5): the leader's appends, heartbeats and commits, and the follower's replies."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from limerudder.store.raft.snapshots import SnapshotSender
 from limerudder.store.raft.state import RaftState
 
-MAX_APPEND_BYTES = 256 * 1024  #: of the entries in one message, unless it has only one
-MAX_APPEND_ENTRIES = 1024  #: in one message
+MAX_APPEND_BYTES = 256 * 1024  #: Maximum size of the entries in one message; a larger entry is sent alone
+MAX_APPEND_ENTRIES = 1024  #: Maximum number of entries in one message
 
 
 class Replicator:
-    """The leader's side: brings the other members' logs up to date and commits what a majority holds."""
+    """Leader side: replicates the log to the other members and commits entries stored by a majority."""
 
     def __init__(self, state: RaftState, snapshot_sender: SnapshotSender) -> None:
         self._state = state
@@ -23,7 +23,7 @@
     # entries
 
     def send_entries_to_all(self, now_us: int) -> None:
-        """Send every member what it lacks, as far as its flow control allows."""
+        """Send every member its missing entries, within the limits of flow control."""
         last_index = self._state.log.last_index
         for member_id, progress in self._state.progress.items():
             if progress.mode == ProgressMode.SNAPSHOT:
@@ -64,14 +64,14 @@
             self._send_heartbeat(member_id, progress, now_us)
 
     def send_due_heartbeats(self, now_us: int) -> None:
-        """Send a heartbeat to the members to which nothing has been sent for the interval."""
+        """Send a heartbeat to each member without a message in the last heartbeat interval."""
         for member_id, progress in self._state.progress.items():
             if now_us >= progress.last_sent_us + self._state.timing.heartbeat_interval_us:
                 progress.resume()
                 self._send_heartbeat(member_id, progress, now_us)
 
     def _send_heartbeat(self, member_id: int, progress: Progress, now_us: int) -> None:
-        """Send an append without entries, which also reveals whether earlier ones were lost."""
+        """Send an append without entries, which also detects the loss of earlier ones."""
         state = self._state
         progress.last_sent_us = now_us
         if progress.mode == ProgressMode.SNAPSHOT and progress.snapshot:
@@ -86,34 +86,35 @@
             self._snapshot_sender.send_heartbeat(member_id, progress)
 
     def next_heartbeat_us(self) -> int | None:
-        """When the next heartbeat is due, or None without other members."""
+        """The due time of the next heartbeat, or None without other members."""
         last_sent = [progress.last_sent_us for progress in self._state.progress.values()]
         return min(last_sent) + self._state.timing.heartbeat_interval_us if last_sent else None
 
-    # answers
+    # replies
 
     def on_reply(self, progress: Progress, message: AppendEntriesReply) -> bool:
-        """Record a member's answer; returns whether its log matches further than was known."""
+        """Record a member's reply; returns whether its match index has advanced."""
         if not message.success:
             self._on_mismatch(progress, message)
             return False
-        is_further = progress.record_match(message.index)
+        has_advanced = progress.record_match(message.index)
         if progress.mode != ProgressMode.REPLICATE:
             progress.become_replicate()
-        return is_further
+        return has_advanced
 
     def _on_mismatch(self, progress: Progress, message: AppendEntriesReply) -> None:
         if message.index <= progress.match_index or progress.mode == ProgressMode.SNAPSHOT:
-            return  # the answer is outdated
+            return  # outdated reply
         if progress.mode == ProgressMode.PROBE and message.index != progress.next_index - 1:
             return
         conflict_index = self._state.log.find_conflict_by_term(message.hint_index, message.hint_term)
         progress.become_probe(min(conflict_index, message.index - 1) + 1)
 
     def advance_commit(self) -> bool:
-        """Commit what a majority holds durably; returns whether the commit index has moved.
+        """Commit the entries that a majority has made durable; returns whether the commit index has advanced.
 
-        Only entries of the leader's own term are committed by counting (3.6.2); earlier ones go with them.
+        Only entries of the leader's own term are committed by counting replicas (3.6.2), which commits all
+        earlier entries as well.
         """
         state = self._state
         voters = state.log.config.voter_ids()
@@ -132,13 +133,13 @@
 
 
 class AppendEntriesHandler:
-    """The follower's side: takes over the leader's entries."""
+    """Follower side: appends the leader's entries to the log."""
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
 
     def handle(self, sender: int, message: AppendEntries) -> None:
-        """Append the entries if the log matches before them, and answer."""
+        """Append the entries if the log matches at `prev_log_index`, and reply."""
         state = self._state
         entries = message.entries
         if message.prev_log_index < state.log.base_index:  # a snapshot covers it, so it is committed
@@ -151,7 +152,7 @@
             return
         self._merge(entries)
         match_index = max(message.prev_log_index + len(message.entries), state.log.base_index)
-        # Entries beyond `match_index` may be of another history.
+        # Entries beyond `match_index` may conflict with the leader's log.
         state.advance_commit_to(min(message.leader_commit, match_index))
         reply = AppendEntriesReply(state.term, True, match_index, 0, 0, message.read_round)
         state.send_after_write(sender, reply)
@@ -165,7 +166,7 @@
         state.send_after_write(sender, reply)
 
     def _merge(self, entries: Sequence[Entry]) -> None:
-        """Append the entries that are missing; delete those that conflict with them and all that follow."""
+        """Append the missing entries, after deleting the first conflicting entry and all that follow it."""
         state = self._state
         for position, entry in enumerate(entries):
             term = state.log.term_at(entry.index)
--- a/limerudder/store/raft/snapshots.py
+++ b/limerudder/store/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: compaction of the log (5.1), and transfer to a member that lacks deleted entries (5.3, 5.4)."""
+"""Snapshots: log compaction (5.1), and transfer to a member that lacks deleted entries (5.3, 5.4)."""
 
 from __future__ import annotations
 
@@ -23,35 +23,35 @@
         return
     assert meta.index <= state.commit_index, "a snapshot covers only committed entries"
     state.snapshot = snapshot
-    # Entries that are kept let a member that is a little behind catch up without a snapshot.
+    # The retained entries allow a slightly lagging member to catch up without a snapshot.
     compact_up_to = max(meta.index - keep_entries, state.log.base_index)
     state.log.compact(min(compact_up_to, state.delivered_index))
 
 
 class SnapshotSender:
-    """The leader's side: sends a snapshot in chunks, and goes on where the receiver has been before."""
+    """Leader side: sends a snapshot in chunks, and resumes an interrupted transfer."""
 
     def __init__(self, state: RaftState) -> None:
         self._state = state
 
     def start(self, member_id: int, progress: Progress, now_us: int) -> None:
-        """Begin to send the current snapshot, if there is one."""
+        """Start to send the current snapshot, if there is one."""
         if self._state.snapshot:
             progress.become_snapshot(self._state.snapshot)
             self.send_chunks(member_id, progress, now_us)
 
     def send_chunks(self, member_id: int, progress: Progress, now_us: int) -> None:
-        """Send as many chunks as may be in flight; ask first how many the receiver holds."""
+        """Query the number of received chunks first; then send chunks up to the in-flight limit."""
         snapshot = progress.snapshot
         assert snapshot
-        if progress.chunks_held == CHUNKS_UNKNOWN:
+        if progress.chunks_received == CHUNKS_UNKNOWN:
             if not progress.is_paused:
                 progress.is_paused = True
                 progress.last_sent_us = now_us
                 self._send_chunk(member_id, snapshot.meta, 0, b"")
             return
         while progress.chunks_sent < min(
-            progress.chunks_held + MAX_INFLIGHT_CHUNKS, snapshot.meta.chunk_count
+            progress.chunks_received + MAX_INFLIGHT_CHUNKS, snapshot.meta.chunk_count
         ):
             number = progress.chunks_sent
             self._send_chunk(member_id, snapshot.meta, number, snapshot.chunks[number])
@@ -59,24 +59,24 @@
             progress.last_sent_us = now_us
 
     def send_heartbeat(self, member_id: int, progress: Progress) -> None:
-        """Ask how many chunks the receiver holds, so that lost ones are noticed."""
+        """Query the number of received chunks, to detect lost ones."""
         assert progress.snapshot
-        self._send_chunk(member_id, progress.snapshot.meta, max(progress.chunks_held, 0), b"")
+        self._send_chunk(member_id, progress.snapshot.meta, max(progress.chunks_received, 0), b"")
 
     def _send_chunk(self, member_id: int, meta: SnapshotMeta, number: int, data: bytes) -> None:
         state = self._state
         state.send(member_id, InstallSnapshotChunk(state.term, meta, number, data, state.read_round))
 
     def on_reply(self, progress: Progress, message: InstallSnapshotReply) -> None:
-        """The receiver holds so many chunks of a snapshot."""
+        """Record the number of chunks that the receiver reports, if it is for the current snapshot."""
         meta = progress.snapshot.meta if progress.snapshot else None
         if meta is None or (meta.index, meta.digest) != (message.snapshot_index, message.snapshot_digest):
             return
-        progress.record_chunks_held(message.chunks_held)
+        progress.record_chunks_received(message.chunks_received)
 
 
 class SnapshotReceiver:
-    """The follower's side: collects the chunks and installs the snapshot when it is complete."""
+    """Follower side: collects the chunks and installs the snapshot when it is complete."""
 
     def __init__(self, state: RaftState, incoming: IncomingSnapshot | None) -> None:
         self._state = state
@@ -88,14 +88,14 @@
 
     @property
     def incoming(self) -> IncomingSnapshot | None:
-        """What has been received of a snapshot that is not complete."""
+        """The partially received snapshot, or None."""
         return IncomingSnapshot(self._meta, tuple(self._chunks)) if self._meta else None
 
     def on_chunk(self, sender: int, message: InstallSnapshotChunk) -> None:
-        """Add a chunk, and install the snapshot with its last one."""
+        """Add a chunk, and install the snapshot once it is complete."""
         state = self._state
         meta = message.meta
-        if meta.index <= state.commit_index:  # this member has everything that the snapshot covers
+        if meta.index <= state.commit_index:  # the snapshot covers only entries that are committed here
             self._reply_installed(sender, state.commit_index, message.read_round)
             return
         if self._meta is None or self._meta != meta:
@@ -105,30 +105,32 @@
             self._chunks.append(message.data)
             state.writes.add_chunk(SnapshotChunk(meta, message.chunk_number, message.data))
         if len(self._chunks) < meta.chunk_count:
-            self._reply_held(sender, meta, len(self._chunks), message.read_round)
+            self._reply_chunks_received(sender, meta, len(self._chunks), message.read_round)
             return
         chunks = self._chunks
         self._meta = None
         self._chunks = []
-        if snapshot_digest(chunks) != meta.digest:  # chunks were corrupted on their way: begin again
-            self._reply_held(sender, meta, 0, message.read_round)
+        if snapshot_digest(chunks) != meta.digest:  # corrupted in transit: restart the transfer
+            self._reply_chunks_received(sender, meta, 0, message.read_round)
             return
         self._install(Snapshot(meta, tuple(chunks)))
         self._reply_installed(sender, meta.index, message.read_round)
 
-    def _reply_held(self, sender: int, meta: SnapshotMeta, held: int, read_round: int) -> None:
-        reply = InstallSnapshotReply(self._state.term, meta.index, meta.digest, held, read_round)
+    def _reply_chunks_received(
+        self, sender: int, meta: SnapshotMeta, chunks_received: int, read_round: int
+    ) -> None:
+        reply = InstallSnapshotReply(self._state.term, meta.index, meta.digest, chunks_received, read_round)
         self._state.send_after_write(sender, reply)
 
     def _reply_installed(self, sender: int, index: int, read_round: int) -> None:
-        """The log matches up to `index`, as after an append."""
+        """Reply that the log matches up to `index`, as after an append."""
         reply = AppendEntriesReply(self._state.term, True, index, 0, 0, read_round)
         self._state.send_after_write(sender, reply)
 
     def _install(self, snapshot: Snapshot) -> None:
         state = self._state
         meta = snapshot.meta
-        keep_log_suffix = state.log.term_at(meta.index) == meta.term  # the entries after it are valid
+        keep_log_suffix = state.log.term_at(meta.index) == meta.term  # entries after the snapshot are valid
         if keep_log_suffix:
             state.log.compact(meta.index)
         else:
--- a/limerudder/store/raft/state.py
+++ b/limerudder/store/raft/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the protocol share: term, vote, role, log, commit index and peers."""
+"""The state shared by the parts of the protocol: term, vote, role, log, commit index and peers."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from limerudder.store.raft.progress import Progress
 from limerudder.store.raft.write_buffer import WriteBuffer
 
-NO_LEADER = 0  #: no member has this id
+NO_LEADER = 0  #: Reserved id that no member has
 
 
 class RaftRole(IntEnum):
-    """The role of a member; section 3.3 of the dissertation, and 9.6 for the pre-candidate."""
+    """The role of a member (3.3; 9.6 for the pre-candidate)."""
 
     FOLLOWER = 0
-    PRE_CANDIDATE = 1  #: asks the others whether they would vote for it
+    PRE_CANDIDATE = 1  #: Polls the other voters on whether they would vote for it
     CANDIDATE = 2
     LEADER = 3
 
     @property
     def status_text(self) -> str:
-        """The role as `status` prints it."""
+        """The role as printed by `status`."""
         return _STATUS_TEXTS[self]
 
 
@@ -41,12 +41,12 @@
 class RaftTiming(NamedTuple):
     """Intervals in microseconds."""
 
-    election_timeout_us: int = 300_000  #: a member waits for a leader for one to two of these
+    election_timeout_us: int = 300_000  #: A member waits one to two timeouts for a leader
     heartbeat_interval_us: int = 100_000
 
 
 class RaftState:
-    """One member's state (figure 3.1), and the output that it collects for its driver."""
+    """One member's state (figure 3.1), and the output collected for its driver."""
 
     def __init__(self, member_id: int, saved: PersistentState, timing: RaftTiming) -> None:
         self.member_id = member_id
@@ -59,18 +59,18 @@
         self.snapshot = saved.snapshot
         self.log = _load_log(saved)
         self.commit_index = self.log.base_index
-        self.delivered_index = self.commit_index  # entries up to here have been given to the driver
+        self.delivered_index = self.commit_index  # last index passed to the driver
         self.writes = WriteBuffer(saved.hard_state, self.log.last_index)
         self.output = RaftOutput()
-        # the leader's
-        self.progress: dict[int, Progress] = {}  # by member id, for all other members
-        self.term_start_index = 0  # the index of this leader's first entry
-        self.read_round = 0  # sent with every message to a follower; see `reads`
-        self.heartbeat_requested = False  # one has to be sent with the next output
+        # leader only
+        self.progress: dict[int, Progress] = {}  # all other members, by member id
+        self.term_start_index = 0  # index of this leader's first entry
+        self.read_round = 0  # included in every message to a follower; see `reads`
+        self.heartbeat_requested = False  # the next output must include a heartbeat
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member has a vote."""
+        """Whether this member is a voter."""
         return self.member_id in self.log.config.voter_ids()
 
     @property
@@ -79,13 +79,13 @@
         return self.commit_index >= self.term_start_index
 
     def set_role(self, role: RaftRole, leader_id: int) -> None:
-        """Change the role, and the leader as far as it is known."""
+        """Change the role and the leader, which is NO_LEADER if unknown."""
         self.role = role
         self.is_leader = role == RaftRole.LEADER
         self.leader_id = leader_id
 
     def is_disk_stalled(self, now_us: int) -> bool:
-        """Whether a write has been pending for longer than an election takes."""
+        """Whether a write has been pending for longer than the election timeout."""
         return self.writes.is_stalled(now_us, self.timing.election_timeout_us)
 
     def is_majority(self, member_ids: Iterable[int]) -> bool:
@@ -94,11 +94,11 @@
         return 2 * len(voters.intersection(member_ids)) > len(voters)
 
     def send(self, recipient: int, message: RaftMessage) -> None:
-        """Send a message at once."""
+        """Send a message immediately."""
         self.output.messages.append(Envelope(recipient, message))
 
     def send_after_write(self, recipient: int, message: RaftMessage) -> None:
-        """Send a message once everything that has changed so far is durable."""
+        """Send a message once all changes made so far are durable."""
         self.output.messages_after_write.append(Envelope(recipient, message))
 
     def append_entries(self, entries: Sequence[Entry]) -> None:
@@ -119,7 +119,7 @@
             self.commit_index = index
 
     def take_output(self, now_us: int) -> RaftOutput | None:
-        """What has been collected since the last call, or None if that is nothing."""
+        """Return the output collected since the last call, or None if there is none."""
         output = self.output
         if self.commit_index > self.delivered_index:
             start = self.delivered_index - self.log.base_index
@@ -127,7 +127,7 @@
             output.committed_entries = self.log.entries[start:end]
             self.delivered_index = self.commit_index
         hard_state = HardState(self.term, self.voted_for)
-        output.write = self.writes.take_write(hard_state, self.member_id, self.log.last_index, now_us)
+        output.write = self.writes.next_write(hard_state, self.member_id, self.log.last_index, now_us)
         if output.is_empty():
             return None
         self.output = RaftOutput()
--- a/limerudder/store/raft/write_buffer.py
+++ b/limerudder/store/raft/write_buffer.py
@@ -1,4 +1,4 @@
-"""Collects what has to become durable, and tracks which of the writes are."""
+"""Collects changes that must become durable, and tracks which writes are durable."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from limerudder.store.raft.messages import Entry, SnapshotMeta
 from limerudder.store.raft.persistence import HardState, RaftWrite, SnapshotChunk
 
-NO_VOTE = 0  #: no election has this term
+NO_VOTE = 0  #: Reserved term without an election
 
 
 @dataclass(slots=True)
@@ -17,20 +17,20 @@
     """A write that is not durable yet."""
 
     number: int
-    last_index: int  # the log's last index once it is durable
-    self_vote_term: int  # the term in which it records the member's vote for itself, or NO_VOTE
+    last_index: int  # last index of the log once the write is durable
+    self_vote_term: int  # term of the vote for itself that the write records, or NO_VOTE
     started_us: int
 
 
 class WriteBuffer:
     """Changes since the last write, and the writes that are not durable yet.
 
-    Every change of the log has to be made here as well, so that what is durable is known.
+    Every change of the log must be reported here, to keep track of the durable index.
     """
 
     def __init__(self, hard_state: HardState, durable_index: int) -> None:
-        self.durable_index = durable_index  # entries up to here are durable
-        self._written_hard_state = hard_state  # as of the last write, durable or not
+        self.durable_index = durable_index  # last durable index of the log
+        self._written_hard_state = hard_state  # hard state in the last write, durable or not
         self._last_number = 0
         self._pending: deque[PendingWrite] = deque()
         self._has_changes = False
@@ -43,14 +43,14 @@
     # changes
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Entries have been added to the log."""
+        """Record that entries have been added to the log."""
         if not entries:
             return
         self._has_changes = True
         self._entries.extend(entries)
 
     def truncate(self, first_index: int) -> None:
-        """The log's entries from `first_index` on have been deleted."""
+        """Record that the log's entries from `first_index` on have been deleted."""
         self._has_changes = True
         self.durable_index = min(self.durable_index, first_index - 1)
         self._limit_pending(first_index - 1)
@@ -61,12 +61,12 @@
             self._truncate_from = min(first_index, self._truncate_from)
 
     def add_chunk(self, chunk: SnapshotChunk) -> None:
-        """A chunk of a snapshot has been received."""
+        """Record that a chunk of a snapshot has been received."""
         self._has_changes = True
         self._snapshot_chunks.append(chunk)
 
     def install_snapshot(self, meta: SnapshotMeta, keep_log_suffix: bool) -> None:
-        """A snapshot whose chunks were all added replaces the log, or only the part that it covers."""
+        """Record that a complete snapshot replaces the log, or only the part of it that it covers."""
         self._has_changes = True
         if keep_log_suffix:
             self._entries = [entry for entry in self._entries if entry.index > meta.index]
@@ -84,10 +84,10 @@
 
     # writes
 
-    def take_write(
+    def next_write(
         self, hard_state: HardState, member_id: int, last_index: int, now_us: int
     ) -> RaftWrite | None:
-        """The next write, or None if nothing has changed since the last one."""
+        """Return the next write, or None if nothing has changed since the last one."""
         hard_state_changed = hard_state != self._written_hard_state
         if not (hard_state_changed or self._has_changes):
             return None
@@ -117,7 +117,7 @@
         self._keep_log_suffix = False
 
     def complete_next(self, number: int, last_index: int) -> PendingWrite | None:
-        """Mark the oldest pending write durable, if it is `number` or before it, and return it."""
+        """Mark the oldest pending write durable and return it, if its number is at most `number`."""
         if not self._pending or self._pending[0].number > number:
             return None
         write = self._pending.popleft()
@@ -125,5 +125,5 @@
         return write
 
     def is_stalled(self, now_us: int, timeout_us: int) -> bool:
-        """Whether the oldest pending write has taken longer than `timeout_us`."""
+        """Whether the oldest pending write has been pending for longer than `timeout_us`."""
         return bool(self._pending) and now_us - self._pending[0].started_us > timeout_us
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""The consensus protocol step by step: situations that the simulation meets only by chance."""
+"""Step-by-step tests of the consensus protocol, for cases that the simulation reaches only by chance."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class LocalCluster:
-    """Members on one clock; messages arrive and writes are durable at once, unless a test prevents it."""
+    """Members on one clock; messages arrive and writes are durable immediately, unless a test prevents it."""
 
     def __init__(self, *member_ids: int) -> None:
         self.now_us = 0
@@ -74,7 +74,7 @@
         return Raft(member_id, saved, Random(member_id), self.now_us, TIMING)
 
     def run_output(self) -> None:
-        """Carry out the members' output until there is no more."""
+        """Process the members' output until there is none left."""
         has_output = True
         while has_output:
             outputs = [self._run_output_of(member_id) for member_id in list(self.members)]
@@ -104,7 +104,7 @@
             self.members[recipient].receive(sender, message, self.now_us)
 
     def run_for(self, milliseconds: int) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         for _ in range(0, milliseconds, TICK_MS):
             self.now_us += TICK_MS * MS
             for raft in self.members.values():
@@ -114,11 +114,11 @@
     def elect(self, member_id: int) -> Raft:
         """Make a member the leader."""
         raft = self.members[member_id]
-        for _ in range(3):  # it may learn of a later term first
+        for _ in range(3):  # the first rounds may only adopt a later term
             self.now_us += 200 * MS
             raft._election.deadline_us = 0
             for member in self.members.values():
-                member._election.leader_heard_at_us = -(10**9)
+                member._election.last_leader_contact_us = -(10**9)
             raft.tick(self.now_us)
             self.run_output()
             if raft.role == RaftRole.LEADER:
@@ -153,7 +153,7 @@
     term = leader.term
     cluster.drops = lambda sender, recipient, message: 3 in (sender, recipient)
     cluster.run_for(2000)
-    assert cluster.members[3].term == term, "it starts with a pre-vote"
+    assert cluster.members[3].term == term, "a partitioned member runs only pre-votes"
     cluster.drops = drop_nothing
     cluster.run_for(500)
     assert leader.role == RaftRole.LEADER and leader.term == term
@@ -186,12 +186,12 @@
     cluster.stalled_disks = {1}
     leader.propose([b"a"], cluster.now_us)
     cluster.run_output()
-    assert leader.commit_index == 2, "the others have it: a quorum without the leader's own disk"
+    assert leader.commit_index == 2, "the followers form a quorum without the leader's disk"
     cluster.run_for(400)
     assert leader.role == RaftRole.FOLLOWER and leader.is_disk_stalled(cluster.now_us)
     assert any(isinstance(message, TimeoutNow) for _, _, message in cluster.sent)
     cluster.run_for(1000)
-    assert leader.role == RaftRole.FOLLOWER, "and starts no election meanwhile"
+    assert leader.role == RaftRole.FOLLOWER, "no election with a stalled disk"
     assert any(raft.role == RaftRole.LEADER for raft in cluster.members.values())
 
 
@@ -223,7 +223,7 @@
 
 
 def test_an_older_terms_entry_is_not_committed_by_count() -> None:
-    """Figure 3.7 of the dissertation."""
+    """Reproduces figure 3.7 of the dissertation."""
     members = config(1, 2, 3, 4, 5)
     cluster = LocalCluster(1, 2, 3, 4, 5)
     old = Entry(1, 2, EntryKind.DATA, b"old")
@@ -235,7 +235,7 @@
     cluster.members[5] = cluster.create_member(5, members, hard_state=HardState(3, 5), entries=(newer,))
 
     def drops_new_entries(sender: int, recipient: int, message: RaftMessage) -> bool:
-        """The leader's own first entry reaches nobody; it learns that all three have the old one."""
+        """Drop the new leader's first entry, while heartbeats confirm the old entry on three members."""
         has_entries = isinstance(message, AppendEntries) and bool(message.entries)
         return 5 in (sender, recipient) or has_entries
 
@@ -243,7 +243,7 @@
     leader = cluster.elect(1)
     cluster.run_for(60)
     assert sum(progress.match_index >= 1 for progress in leader.progress.values()) >= 2
-    assert leader.commit_index == 0, "a member with the newer entry may still be elected"
+    assert leader.commit_index == 0, "member 5 with the newer entry can still be elected"
     del cluster.members[1]
     cluster.drops = drop_nothing
     cluster.elect(5)
@@ -260,14 +260,14 @@
     cluster.run_output()
     complete = snapshot(leader.commit_index, leader.term, members, 10)
     leader.compact(complete, 0)
-    behind = cluster.members[2]
+    lagging = cluster.members[2]
 
     def drops_late_chunks(sender: int, recipient: int, message: RaftMessage) -> bool:
         return isinstance(message, InstallSnapshotChunk) and message.chunk_number >= 6 and bool(message.data)
 
     cluster.drops = drops_late_chunks
     cluster.run_for(100)
-    incoming = behind.incoming_snapshot
+    incoming = lagging.incoming_snapshot
     assert incoming and len(incoming.chunks) == 6 and 2 not in cluster.installed
     cluster.members[2] = cluster.create_member(
         2, members, hard_state=HardState(leader.term, 1), incoming=incoming
@@ -291,7 +291,7 @@
     output = member.take_output(cluster.now_us)
     assert output and output.installed_snapshot is None and member.incoming_snapshot is None
     reply = output.messages_after_write[-1].message
-    assert isinstance(reply, InstallSnapshotReply) and reply.chunks_held == 0
+    assert isinstance(reply, InstallSnapshotReply) and reply.chunks_received == 0
 
 
 def test_a_joining_member_has_no_vote_until_it_has_caught_up() -> None:
@@ -313,9 +313,9 @@
     with pytest.raises(MembershipChangeError, match="one voter at a time"):
         leader.propose_config(config(1, 2), cluster.now_us)
     with pytest.raises(MembershipChangeError, match="the last voter"):
-        alone = LocalCluster(1)
-        alone.run_for(400)
-        alone.members[1].propose_config(ClusterConfig(()), alone.now_us)
+        single_member = LocalCluster(1)
+        single_member.run_for(400)
+        single_member.members[1].propose_config(ClusterConfig(()), single_member.now_us)
 
 
 def test_a_removed_leader_leads_until_its_removal_is_committed() -> None:
@@ -327,9 +327,9 @@
     assert leader.role == RaftRole.FOLLOWER
     cluster.run_for(20)
     remaining = [cluster.members[2], cluster.members[3]]
-    assert any(raft.role == RaftRole.LEADER for raft in remaining), "at once, and not after a timeout"
+    assert any(raft.role == RaftRole.LEADER for raft in remaining), "elected without an election timeout"
     cluster.run_for(2000)
-    assert cluster.members[1].role == RaftRole.FOLLOWER, "it starts no election any more"
+    assert cluster.members[1].role == RaftRole.FOLLOWER, "a removed member starts no election"
 
 
 def test_a_member_without_a_configuration_starts_no_election() -> None:
