--- a/limerudder/store/leader_requests.py
+++ b/limerudder/store/leader_requests.py
@@ -1,4 +1,4 @@
-"""The leader's side of client requests: queues them for Raft, and replies once their outcome is known."""
+"""The leader side of client requests: queues them for Raft, and replies once their outcome is known."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from limerudder.store.commands import CommandResult, encode_result
-from limerudder.store.membership_requests import config_with, config_without
+from limerudder.store.membership_requests import config_with_member, config_without_member
 from limerudder.store.raft.errors import MembershipChangeError, NotLeaderError
 from limerudder.store.raft.messages import Entry
 from limerudder.store.raft.output import RaftOutput
@@ -15,45 +15,45 @@
 from limerudder.store.rpc import Reply, ReplyStatus, Request, RequestKind
 from limerudder.store.state_machine import KeyValueState
 
-#: sends a reply: the recipient's identifier, the reply, and the time in microseconds
+#: Callback that sends a reply; arguments: the recipient's member id, the reply, the time in microseconds
 ReplySender = Callable[[int, Reply, int], None]
 
 
 class RequestOrigin(NamedTuple):
-    """Where a request came from: the member, and the number that it gave to the request."""
+    """The origin of a request: the member, and the request number assigned by it."""
 
     member_id: int
     number: int
 
 
 class QueuedWrite(NamedTuple):
-    """A command that waits to be proposed."""
+    """A command that has not been proposed yet."""
 
     command: bytes
     origin: RequestOrigin
 
 
 class ProposedEntry(NamedTuple):
-    """A proposed log entry whose outcome is not known yet; `term` is that of the proposal."""
+    """A proposed log entry with a pending outcome; `term` is the term of the proposal."""
 
     term: int
     origin: RequestOrigin
 
 
 class LeaderRequests:
-    """Handles the requests that reach this member, which it can carry out only while it leads."""
+    """Handles the requests sent to this member, which it can process only as the leader."""
 
     def __init__(self, raft: Raft, state: KeyValueState, send: ReplySender, max_pending_writes: int) -> None:
         self._raft = raft
         self._state = state
         self._send_reply = send
         self._max_pending_writes = max_pending_writes
-        self._queued_writes: list[QueuedWrite] = []  # for one proposal
-        self._proposed: dict[int, ProposedEntry] = {}  # by log index
-        self._reads: dict[int, RequestOrigin] = {}  # by Raft's identifier of the read
+        self._queued_writes: list[QueuedWrite] = []  # commands of the next proposal
+        self._proposed: dict[int, ProposedEntry] = {}  # keyed by log index
+        self._reads: dict[int, RequestOrigin] = {}  # keyed by Raft's id of the read
 
     def handle(self, sender_id: int, request: Request, now_us: int) -> None:
-        """Starts to carry out a request, or replies at once that it cannot be done."""
+        """Starts to process a request, or replies immediately with the reason why that is not possible."""
         origin = RequestOrigin(sender_id, request.number)
         if self._raft.role != RaftRole.LEADER:
             self._reply(origin, ReplyStatus.NOT_LEADER, b"", now_us)
@@ -87,10 +87,10 @@
     def _change_members(self, origin: RequestOrigin, request: Request, now_us: int) -> None:
         log = self._raft.log
         if request.kind == RequestKind.REMOVE_MEMBER:
-            requested = config_without(log.config, _decode_number(request.data))
+            requested = config_without_member(log.config, _decode_number(request.data))
         else:
-            requested = config_with(log.config, request.data)
-        is_retry = requested == log.config  # its first reply was lost
+            requested = config_with_member(log.config, request.data)
+        is_retry = requested == log.config  # the reply to the first attempt was lost
         index = log.config_index if is_retry else self._raft.propose_config(requested, now_us)
         if index <= self._state.applied_index:
             self._reply(origin, ReplyStatus.DONE, _encode_number(index), now_us)
@@ -98,7 +98,7 @@
             self._proposed[index] = ProposedEntry(self._raft.term, origin)
 
     def in_progress_from(self, member_id: int) -> set[int]:
-        """Returns the numbers of a member's requests that this leader is working on in its present term."""
+        """Returns the numbers of a member's requests that this leader is processing in its current term."""
         return {origin.number for origin in self._origins_in_progress() if origin.member_id == member_id}
 
     def _origins_in_progress(self) -> Iterator[RequestOrigin]:
@@ -110,7 +110,7 @@
             yield queued.origin
 
     def propose_queued(self, now_us: int) -> None:
-        """Proposes all queued writes together, so that they share one write to disk and one message."""
+        """Proposes all queued writes as a batch, so that they share one disk write and one message."""
         if not self._queued_writes:
             return
         queued_writes = self._queued_writes
@@ -125,19 +125,19 @@
             self._proposed[index] = ProposedEntry(term, queued.origin)
 
     def reply_to_entry(self, entry: Entry, result: CommandResult | None, now_us: int) -> None:
-        """Replies to the request that proposed an entry, now that the entry has been applied."""
+        """Replies to the request that proposed an entry, after the entry has been applied."""
         proposed = self._proposed.pop(entry.index, None)
         if proposed is None:
             return
         if proposed.term != entry.term:
-            # another leader's entry stands in its place: its result belongs to another request
+            # another leader's entry replaced the proposal; the result belongs to another request
             self._reply(proposed.origin, ReplyStatus.NOT_LEADER, b"", now_us)
             return
         data = _encode_number(entry.index) if result is None else encode_result(result)
         self._reply(proposed.origin, ReplyStatus.DONE, data, now_us)
 
     def reply_to_reads(self, output: RaftOutput, now_us: int) -> None:
-        """Replies to the reads that Raft has confirmed or aborted."""
+        """Replies to the reads that Raft reports as confirmed or aborted."""
         for read_id, index in output.confirmed_reads:
             origin = self._reads.pop(read_id, None)
             if origin:
@@ -147,11 +147,11 @@
             if origin:
                 self._reply(origin, ReplyStatus.NOT_LEADER, b"", now_us)
 
-    def forget_lost_proposals(self) -> None:
-        """Forgets, after this member has lost the leadership, proposals that its log no longer holds.
+    def discard_lost_proposals(self) -> None:
+        """Discards proposals that are no longer in the log after a loss of leadership.
 
-        They get no reply: their entries may still be committed elsewhere. The member that sent the request
-        retries it, and the session keeps it from being applied twice.
+        They get no reply, since their entries may still be committed by another leader. The requesting
+        member retries the request, and its session prevents a second application.
         """
         if self._raft.role == RaftRole.LEADER:
             return
--- a/limerudder/store/limits.py
+++ b/limerudder/store/limits.py
@@ -1,4 +1,4 @@
-"""Limits on what a member keeps and accepts."""
+"""Limits on the data that a member stores and accepts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 class MemberLimits(NamedTuple):
     """The limits of one member."""
 
-    snapshot_after_entries: int = 20_000  # applied since the last snapshot: a new one is due
-    snapshot_after_bytes: int = 16 << 20  # or once the log in memory has this size
-    kept_entries: int = 1000  # behind a snapshot, for followers that are a little late
-    max_pending_requests: int = 4096  # of this member's clients, and of all members at the leader
+    snapshot_after_entries: int = 20_000  # entries applied since the last snapshot that trigger a new one
+    snapshot_after_bytes: int = 16 << 20  # size of the log in memory that triggers a new snapshot
+    kept_entries: int = 1000  # log entries before a snapshot, retained for slightly lagging followers
+    max_pending_requests: int = 4096  # client requests of this member; at the leader, writes of all members
     max_value_bytes: int = 64 << 10
     snapshot_chunk_bytes: int = SNAPSHOT_CHUNK_BYTES
-    max_history_events: int = MAX_HISTORY_EVENTS  # changes kept for watches
+    max_history_events: int = MAX_HISTORY_EVENTS  # changes retained for watches
--- a/limerudder/store/log_applier.py
+++ b/limerudder/store/log_applier.py
@@ -1,4 +1,4 @@
-"""Applies committed log entries to the replicated state, and tells those who wait for an entry."""
+"""Applies committed log entries to the replicated state, and notifies callers that wait for an entry."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LogApplier:
-    """Keeps the replicated state, and the values known from it, up to date with the committed log."""
+    """Keeps the replicated state and the locally persisted values up to date with the committed log."""
 
     def __init__(self, state: KeyValueState, known_values: KnownValues) -> None:
         self._state = state
@@ -25,12 +25,12 @@
         self._waiters: list[_Waiter] = []
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replaces the replicated state by a snapshot; raises SnapshotError if it cannot be decoded."""
+        """Replaces the replicated state with a snapshot; raises SnapshotError if it cannot be decoded."""
         self._state.restore(snapshot.chunks)
         self._known_values.refresh()
 
     def apply(self, entry: Entry) -> CommandResult | None:
-        """Applies an entry; returns the result of its command, or None if it holds none."""
+        """Applies an entry; returns the result of its command, or None if it has no command."""
         if entry.kind != EntryKind.DATA:
             self._state.applied_index = entry.index
             return None
@@ -41,14 +41,14 @@
         return result
 
     def when_applied(self, index: int, callback: TimeCallback, now_us: int) -> None:
-        """Calls back once the entry at this index has been applied here: at once if it has been already."""
+        """Calls back once the entry at this index has been applied locally; immediately if it already has."""
         if self._state.applied_index >= index:
             callback(now_us)
         else:
             self._waiters.append(_Waiter(index, callback))
 
     def notify_waiters(self, now_us: int) -> None:
-        """Calls back those who wait for an entry that has been applied."""
+        """Runs the callbacks that wait for entries applied by now."""
         applied_index = self._state.applied_index
         due = [waiter for waiter in self._waiters if waiter.entry_index <= applied_index]
         self._waiters = [waiter for waiter in self._waiters if waiter.entry_index > applied_index]
--- a/limerudder/store/member.py
+++ b/limerudder/store/member.py
@@ -1,8 +1,8 @@
-"""One member of the cluster: wires Raft, the replicated state, the drain log and the clients' calls together.
+"""One member of the cluster: combines Raft, the replicated state, the drain log and pending client calls.
 
-Like Raft, a member does no I/O and reads no clock. The driver owes it what it owes Raft (see `raft.raft`),
-with a `DurabilityJob` in place of a `RaftWrite`: jobs are made durable one after the other, each completely
-or not at all. Times are microseconds of a clock that never goes back.
+Like Raft, a member does no I/O and reads no clock. The driver has the same obligations as for Raft (see
+`raft.raft`), with a `DurabilityJob` instead of a `RaftWrite`: jobs are made durable in order, each of them
+atomically. Times are microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -44,27 +44,27 @@
 from limerudder.store.rpc import AddressedMessage, Reply, Request, RequestKind, StoreMessage
 from limerudder.store.state_machine import KeyValueState
 
-REQUEST_NUMBER_BITS = 48  #: of the random number that a process's first request gets
+REQUEST_NUMBER_BITS = 48  #: Size of the random number of a process's first request
 
-#: returns why a transaction of at most this value size is rejected, or None
+#: Returns why a transaction is rejected under a maximum value size in bytes, or None if it is valid
 TransactionValidator = Callable[[Transaction, int], str | None]
 
 
 @dataclass(slots=True)
 class MemberOutput:
-    """Work for the driver: messages to send now, a job, and messages to send once the job is durable."""
+    """Work for the driver: messages to send immediately, a job, and messages to send once it is durable."""
 
     messages: list[AddressedMessage] = field(default_factory=list)
     job: DurabilityJob | None = None
     messages_after_job: list[AddressedMessage] = field(default_factory=list)
 
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether there is no work for the driver."""
         return not (self.messages or self.job or self.messages_after_job)
 
 
 class Member:
-    """One member: events come in through its methods, and `take_output` returns what is to be done."""
+    """One member: its methods receive events, and `take_output` returns the resulting work."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         if start.raft_state.snapshot:
             self.state.restore(start.raft_state.snapshot.chunks)
         self.drain_log = DrainLog({}, start.drain_facts)
-        #: called with the time after the state, the membership or the leader may have changed
+        #: Callbacks that receive the time after a possible change of the state, the membership or the leader
         self.change_listeners: list[TimeCallback] = []
         self.pending_calls = ClientCalls(
             self.raft,
@@ -102,26 +102,26 @@
             self.raft, self.state, self.drain_log, self._known_values, limits
         )
         self._drain_replicator = DrainReplicator(self.drain_log, self.state, self.raft, self, now_us)
-        self._fresh_at_us = now_us  # when this member last had all that it knew to be committed
+        self._fresh_at_us = now_us  # last time the state was up to date with the leader's commit index
         self._output = MemberOutput()
         self._known_values.refresh()
 
     @property
     def config(self) -> ClusterConfig:
-        """The cluster's membership, by the last entry in this member's log that changes it."""
+        """The cluster's membership according to the latest configuration entry in this member's log."""
         return self.raft.log.config
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads."""
+        """Whether this member is the leader."""
         return self.raft.role == RaftRole.LEADER
 
     def known_value(self, key: str) -> KnownValue:
-        """Returns the value, as last known here, of a key that the node needs when it starts."""
+        """Returns the latest locally available value of a key that the node needs at startup."""
         return self._known_values.get(key)
 
     def max_staleness_us(self, now_us: int) -> int:
-        """Returns how old the state here may be at most, by the commit index that the leader has sent."""
+        """Returns the upper bound of the local state's age, based on the commit index sent by the leader."""
         if self.is_leader and self.raft.has_committed_in_term:
             return 0
         return max(now_us - self._fresh_at_us, 0)
@@ -129,11 +129,11 @@
     def submit_request(
         self, kind: RequestKind, data: bytes, deadline_us: int, callback: ReplyCallback, now_us: int
     ) -> None:
-        """Has the leader carry out a request; calls back once, by the deadline at the latest."""
+        """Submits a request to the leader; calls back exactly once, no later than the deadline."""
         self.pending_calls.submit(kind, data, deadline_us, callback, now_us)
 
     def write(self, command: Command, deadline_us: int, callback: ResultCallback, now_us: int) -> None:
-        """Has a command applied and calls back with its result; a `SessionWrite` may be retried."""
+        """Submits a command and calls back with its result; a `SessionWrite` may be retried."""
         if isinstance(command, SessionWrite):
             error = self._validate(command.transaction, self._limits.max_value_bytes)
             if error:
@@ -146,7 +146,7 @@
         self.submit_request(RequestKind.WRITE, encode_command(command), deadline_us, on_reply, now_us)
 
     def read_barrier(self, deadline_us: int, callback: ReadCallback, now_us: int) -> None:
-        """Calls back once the state here holds all that was committed now: reads of it are linearizable."""
+        """Calls back once the local state has all previously committed entries, for linearizable reads."""
 
         def on_reply(outcome: bytes | CallFailure, now_us: int) -> None:
             if isinstance(outcome, CallFailure):
@@ -158,19 +158,19 @@
         self.submit_request(RequestKind.READ_INDEX, b"", deadline_us, on_reply, now_us)
 
     def when_applied(self, index: int, callback: TimeCallback, now_us: int) -> None:
-        """Calls back once the entry at this index has been applied here: at once if it has been already."""
+        """Calls back once the entry at this index has been applied locally; immediately if it already has."""
         self._applier.when_applied(index, callback, now_us)
 
     def when_durable(self, fact_number: int, callback: TimeCallback, now_us: int) -> None:
-        """Calls back once a fact of the drain log is durable here: at once if it is already."""
+        """Calls back once a fact of the drain log is durable locally; immediately if it already is."""
         self._scheduler.when_durable(fact_number, callback, now_us)
 
     def record_proofs(self, proofs: Mapping[int, DurabilityProof]) -> None:
-        """Makes durable what members have proved about their disks."""
+        """Adds the durability proofs of peers to the next job, which makes them durable."""
         self._scheduler.record_proofs(proofs)
 
     def capture_snapshot(self) -> SnapshotJob:
-        """Returns the replicated state as it is now, to be encoded elsewhere."""
+        """Returns a copy of the current replicated state, to be encoded by the driver."""
         return self._scheduler.capture_snapshot()
 
     def receive(self, sender_id: int, message: StoreMessage, now_us: int) -> None:
@@ -190,7 +190,7 @@
             self._fresh_at_us = now_us
 
     def tick(self, now_us: int) -> None:
-        """Handles the passing of time; to be called by `next_deadline` at the latest."""
+        """Runs the timers that are due; must be called no later than `next_deadline`."""
         if now_us >= self.raft.next_deadline_us():
             self.raft.tick(now_us)
         self.pending_calls.tick(self._own_requests_in_progress(), now_us)
@@ -202,16 +202,16 @@
         return self._leader_requests.in_progress_from(self.member_id)
 
     def next_deadline(self) -> int:
-        """Returns when `tick` must be called at the latest."""
+        """Returns the latest time of the next `tick` call."""
         deadlines_us = [self.raft.next_deadline_us(), self._drain_replicator.due_at_us]
         return min(*deadlines_us, *self.pending_calls.deadlines_us())
 
     def on_job_durable(self, job_number: int, snapshot: Snapshot | None, now_us: int) -> None:
-        """Handles the completion of a job; `snapshot` is the one that its `SnapshotJob` has built."""
+        """Handles the completion of a job; `snapshot` is the result of its `SnapshotJob`, if it has one."""
         self._scheduler.on_job_durable(job_number, snapshot, now_us)
 
     def take_output(self, now_us: int) -> MemberOutput | None:
-        """Returns what is to be done since the last call, or None if there is nothing."""
+        """Returns the driver's work since the last call, or None if there is none."""
         self.pending_calls.resend_after_leader_change(now_us)
         self._leader_requests.propose_queued(now_us)
         raft_output = self.raft.take_output(now_us)
@@ -234,7 +234,7 @@
             result = self._applier.apply(entry)
             self._leader_requests.reply_to_entry(entry, result, now_us)
         self._leader_requests.reply_to_reads(raft_output, now_us)
-        self._leader_requests.forget_lost_proposals()
+        self._leader_requests.discard_lost_proposals()
         if raft_output.committed_entries or raft_output.installed_snapshot:
             self._applier.notify_waiters(now_us)
             for listener in self.change_listeners:
--- a/limerudder/store/membership_requests.py
+++ b/limerudder/store/membership_requests.py
@@ -1,4 +1,4 @@
-"""Changes of the cluster's membership that clients request."""
+"""Cluster membership changes requested by clients."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from limerudder.store.raft.messages import ClusterConfig, Member, MemberRole
 
 
-def config_without(config: ClusterConfig, member_id: int) -> ClusterConfig:
-    """Returns the configuration without a member."""
+def config_without_member(config: ClusterConfig, member_id: int) -> ClusterConfig:
+    """Returns the configuration without the given member."""
     return ClusterConfig(tuple(member for member in config.members if member.id != member_id))
 
 
-def config_with(config: ClusterConfig, encoded_member: bytes) -> ClusterConfig:
-    """Returns the configuration with a new member, or unchanged if it holds this member already.
+def config_with_member(config: ClusterConfig, encoded_member: bytes) -> ClusterConfig:
+    """Returns the configuration with a new member, or unchanged if the member already exists.
 
-    Raises MembershipChangeError if the member is malformed, would be a voter from the start, or has the
-    identifier, name or address of another one.
+    Raises MembershipChangeError if the member is malformed, has the voter role, or has the id, name or
+    address of another member.
     """
     new = _decode_member(encoded_member)
     if new.role == MemberRole.VOTER:
--- a/limerudder/store/output_dispatcher.py
+++ b/limerudder/store/output_dispatcher.py
@@ -1,6 +1,6 @@
-"""Carries out what a member asks for: sends its messages and has its jobs made durable.
+"""Processes a member's output: sends its messages and submits its jobs to the disk writer.
 
-Messages that depend on a job, such as votes and acknowledgements, leave only once that job is durable.
+Messages that depend on a job, such as votes and acknowledgements, are sent only once that job is durable.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from limerudder.store.member import MemberOutput
 from limerudder.store.peer_transport import PeerTransport
 
-NO_JOB = 0  #: jobs are numbered from 1 on
+NO_JOB = 0  #: Reserved job number; jobs are numbered from 1
 
 
 class _DeferredMessages(NamedTuple):
@@ -25,7 +25,7 @@
 
 
 class OutputDispatcher:
-    """Sends messages through a transport, some of them after the jobs that they depend on."""
+    """Sends messages through a transport, each after the job that it depends on, if any."""
 
     def __init__(self, transport: PeerTransport) -> None:
         self._transport = transport
@@ -34,7 +34,7 @@
         self._deferred: deque[_DeferredMessages] = deque()
 
     def dispatch(self, output: MemberOutput, writer: DiskWriter) -> None:
-        """Carry out a member's output."""
+        """Process a member's output."""
         self.send(output.messages)
         if output.job:
             self._last_submitted_job = output.job.number
@@ -43,16 +43,16 @@
             self._send_once_durable(output.messages_after_job)
 
     def send(self, messages: Sequence[tuple[int, rpc.StoreMessage]]) -> None:
-        """Send messages now, each to its recipient."""
+        """Send each message to its recipient immediately."""
         for recipient_id, message in messages:
             self._transport.send(recipient_id, message)
 
     def job_became_durable(self, job_number: int) -> None:
-        """Note that all jobs up to this one are durable; `send_released` sends what waited for them."""
+        """Record that all jobs up to this one are durable; `send_released` sends their messages."""
         self._last_durable_job = job_number
 
     def send_released(self) -> None:
-        """Send the messages whose jobs are durable by now."""
+        """Send the deferred messages whose jobs are durable."""
         while self._deferred and self._deferred[0].job_number <= self._last_durable_job:
             self.send(self._deferred.popleft().messages)
 
--- a/tests/test_store_messages.py
+++ b/tests/test_store_messages.py
@@ -1,4 +1,4 @@
-"""The frames and messages of peer connections."""
+"""Tests of the frames and messages of peer connections."""
 
 from __future__ import annotations
 
