--- a/limerudder/store/member.py
+++ b/limerudder/store/member.py
@@ -102,7 +102,7 @@
             self.raft, self.state, self.drain_log, self._known_values, limits
         )
         self._drain_replicator = DrainReplicator(self.drain_log, self.state, self.raft, self, now_us)
-        self._fresh_at_us = now_us  # last time the state was up to date with the leader's commit index
+        self._up_to_date_at_us = now_us  # last time the state was up to date with the leader's commit index
         self._output = MemberOutput()
         self._known_values.refresh()
 
@@ -124,7 +124,7 @@
         """Returns the upper bound of the local state's age, based on the commit index sent by the leader."""
         if self.is_leader and self.raft.has_committed_in_term:
             return 0
-        return max(now_us - self._fresh_at_us, 0)
+        return max(now_us - self._up_to_date_at_us, 0)
 
     def submit_request(
         self, kind: RequestKind, data: bytes, deadline_us: int, callback: ReplyCallback, now_us: int
@@ -187,7 +187,7 @@
 
     def _update_freshness(self, message: AppendEntries, now_us: int) -> None:
         if message.term == self.raft.term and message.leader_commit <= self.raft.commit_index:
-            self._fresh_at_us = now_us
+            self._up_to_date_at_us = now_us
 
     def tick(self, now_us: int) -> None:
         """Runs the timers that are due; must be called no later than `next_deadline`."""
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -147,7 +147,7 @@
     assert caught.value.leader == leaders[0].member_id
 
 
-def test_a_member_that_was_cut_off_does_not_depose_the_leader_when_it_is_back() -> None:
+def test_a_partitioned_member_does_not_depose_the_leader_after_reconnecting() -> None:
     cluster = LocalCluster(1, 2, 3)
     leader = cluster.elect(1)
     term = leader.term
@@ -168,7 +168,7 @@
     assert leader.role != RaftRole.LEADER and cluster.reads[1] == []
 
 
-def test_a_read_waits_for_a_round_that_began_after_it() -> None:
+def test_a_read_waits_for_a_heartbeat_round_started_after_it() -> None:
     cluster = LocalCluster(1, 2, 3)
     leader = cluster.elect(1)
     cluster.drops = lambda sender, recipient, message: recipient == 1
@@ -207,7 +207,7 @@
         cluster.members[3].transfer_leadership(9, cluster.now_us)
 
 
-def test_a_vote_is_durable_before_it_is_sent_and_is_given_once_in_a_term() -> None:
+def test_a_vote_is_durable_before_it_is_sent_and_is_granted_once_per_term() -> None:
     cluster = LocalCluster(1, 2, 3)
     member = cluster.members[3]
     member.receive(1, RequestVote(5, 0, 0, False, False), cluster.now_us)
@@ -222,7 +222,7 @@
     assert isinstance(reply, RequestVoteReply) and reply.granted is False
 
 
-def test_an_older_terms_entry_is_not_committed_by_count() -> None:
+def test_an_entry_of_an_older_term_is_not_committed_by_counting_replicas() -> None:
     """Reproduces figure 3.7 of the dissertation."""
     members = config(1, 2, 3, 4, 5)
     cluster = LocalCluster(1, 2, 3, 4, 5)
@@ -251,7 +251,7 @@
     assert cluster.members[2].log.entry_at(1) == newer
 
 
-def test_a_snapshot_is_resumed_from_the_chunks_held_even_after_a_restart() -> None:
+def test_a_snapshot_transfer_resumes_from_the_chunks_received_even_after_a_restart() -> None:
     members = config(1, 2, 3)
     cluster = LocalCluster(1, 2, 3)
     cluster.drops = lambda sender, recipient, message: 2 in (sender, recipient)
@@ -318,7 +318,7 @@
         single_member.members[1].propose_config(ClusterConfig(()), single_member.now_us)
 
 
-def test_a_removed_leader_leads_until_its_removal_is_committed() -> None:
+def test_a_removed_leader_steps_down_once_its_removal_is_committed() -> None:
     cluster = LocalCluster(1, 2, 3)
     leader = cluster.elect(1)
     cluster.run_output()
