--- a/limerudder/store/output_dispatcher.py
+++ b/limerudder/store/output_dispatcher.py
@@ -48,10 +48,10 @@
             self._transport.send(recipient_id, message)
 
     def job_became_durable(self, job_number: int) -> None:
-        """Record that all jobs up to this one are durable; `send_released` sends their messages."""
+        """Record that all jobs up to this one are durable; `send_deferred` sends their messages."""
         self._last_durable_job = job_number
 
-    def send_released(self) -> None:
+    def send_deferred(self) -> None:
         """Send the deferred messages whose jobs are durable."""
         while self._deferred and self._deferred[0].job_number <= self._last_durable_job:
             self.send(self._deferred.popleft().messages)
--- a/limerudder/store/store.py
+++ b/limerudder/store/store.py
@@ -186,7 +186,7 @@
         now_us = self.now_us()
         for job, snapshot in zip(jobs, snapshots, strict=True):
             self._job_durable(job, snapshot, now_us)
-        self._dispatcher.send_released()
+        self._dispatcher.send_deferred()
         if not self.is_closed:
             self._carry_out_output()
 
