--- a/limerudder/store/output_dispatcher.py
+++ b/limerudder/store/output_dispatcher.py
@@ -47,7 +47,7 @@
         for recipient_id, message in messages:
             self._transport.send(recipient_id, message)
 
-    def job_became_durable(self, job_number: int) -> None:
+    def on_job_durable(self, job_number: int) -> None:
         """Record that all jobs up to this one are durable; `send_deferred` sends their messages."""
         self._last_durable_job = job_number
 
--- a/limerudder/store/store.py
+++ b/limerudder/store/store.py
@@ -191,7 +191,7 @@
             self._carry_out_output()
 
     def _job_durable(self, job: DurabilityJob, snapshot: Snapshot | None, now_us: int) -> None:
-        self._dispatcher.job_became_durable(job.number)
+        self._dispatcher.on_job_durable(job.number)
         if job.raft_write and job.raft_write.hard_state:
             self._durable_term = job.raft_write.hard_state.term
         for _, fact in job.new_facts:
