--- a/harness/__init__.py
+++ b/harness/__init__.py
@@ -1,1 +1,1 @@
-"""The project's own rigs: simulated clusters, stand-ins and planted faults. Not part of what is shipped."""
+"""Test harness: simulated clusters, stand-in processes and fault injection. Not part of the release."""
--- a/harness/cluster_simulation.py
+++ b/harness/cluster_simulation.py
@@ -1,9 +1,9 @@
-"""Whole clusters on a simulated clock, network and disks, deterministic by seed, checked after every step.
+"""Simulates whole clusters with a simulated clock, network and disks; deterministic for a given seed.
 
-The members are the shipped ones. Around them messages are lost, duplicated, reordered and delayed; links are
-blocked in one direction or both; disks are slow or stall; processes crash at any moment; clocks run apart and
-jump; disks are replaced by older copies; members join and leave. Clients write, compare and read through any
-member, and hosts drain.
+The members run production code, and the invariants are checked after every step. Messages are lost,
+duplicated, reordered and delayed; links are blocked in one direction or both; disks are slow or stall;
+processes crash at any time; clocks drift and jump; disks are replaced by older copies; members join and
+leave. Clients write, compare and read through any member, and hosts drain.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from limerudder.store.raft.messages import Member as MemberEntry
 
 MAX_CLIENT_START_US = 200 * MICROSECONDS_PER_MILLISECOND
-RECOVERY_SECONDS = 6  #: without faults, after which the cluster must have recovered
+RECOVERY_SECONDS = 6  #: Fault-free time within which the cluster must recover
 CONVERGENCE_ATTEMPTS = 100
 CONVERGENCE_INTERVAL_US = 20 * MICROSECONDS_PER_MILLISECOND
 
 
 class ClusterSimulation:
-    """One run."""
+    """One run of a simulated cluster."""
 
     def __init__(self, seed: int, plan: FaultPlan | None = None) -> None:
         self.environment = SimulationEnvironment(seed, plan or FaultPlan())
@@ -54,7 +54,7 @@
         return member
 
     def run(self) -> None:
-        """Run with faults, then without; raises InvariantError if something does not hold."""
+        """Run with faults, then without; raises InvariantError if an invariant is violated."""
         environment = self.environment
         for number in range(environment.plan.clients):
             client = SimulatedClient(number, environment, self.checks, self.history)
@@ -70,12 +70,12 @@
         self._check_clients()
 
     def _check_recovery(self) -> None:
-        """There is a leader, and all members of its configuration have the same state."""
+        """Check that there is a leader and that all members of its configuration have the same state."""
         where = f"seed {self.environment.seed}, end"
-        running = [member for member in self.checks.running_members() if not member.is_abandoned]
+        running = [member for member in self.checks.running_members() if not member.has_outdated_disk]
         leaders = [member for member in running if member.running_process.is_leader]
         if not leaders:
-            raise InvariantError(f"{where}: there is no leader after {RECOVERY_SECONDS} quiet seconds")
+            raise InvariantError(f"{where}: no leader after {RECOVERY_SECONDS} s without faults")
         leader = max(leaders, key=lambda member: member.running_process.raft.term)
         config = leader.running_process.config
         members = [member for member in running if config.find_by_id(member.member_id)]
@@ -83,7 +83,7 @@
         self.checks.check_drains_agreed(members, {entry.id for entry in config.members})
 
     def _wait_for_equal_states(self, members: list[SimulatedMember], where: str) -> None:
-        for _ in range(CONVERGENCE_ATTEMPTS):  # a client's last write may be under way
+        for _ in range(CONVERGENCE_ATTEMPTS):  # a client's last write may still be in progress
             if len(_states(members)) == 1:
                 return
             self.environment.clock.run_until(self.environment.clock.now_us + CONVERGENCE_INTERVAL_US)
--- a/harness/fault_injector.py
+++ b/harness/fault_injector.py
@@ -17,7 +17,7 @@
 from limerudder.store.raft.messages import Member as MemberEntry
 from limerudder.store.rpc import RequestKind
 
-CRASH_COUNTS = (1, 1, 1, 2)  #: members that crash at once, besides all of them
+CRASH_COUNTS = (1, 1, 1, 2)  #: Numbers of members that crash together; all of them is a further choice
 RESTART_DELAY_FRACTIONS = (0.02, 0.2, 1)
 DISK_STALLS_US = (200 * MICROSECONDS_PER_MILLISECOND, 2 * MICROSECONDS_PER_SECOND)
 CLOCK_JUMPS_US = (50 * MICROSECONDS_PER_MILLISECOND, MICROSECONDS_PER_SECOND, 10 * MICROSECONDS_PER_SECOND)
@@ -31,7 +31,7 @@
 
 
 class FaultInjector:
-    """Crashes, partitions, slow or lost disks, wrong clocks, and changes that members have to agree on."""
+    """Injects crashes, partitions, disk and clock faults, and changes that the members must agree on."""
 
     def __init__(
         self,
@@ -82,16 +82,16 @@
         delay_us = self._random.expovariate(1 / interval_seconds) * MICROSECONDS_PER_SECOND
         self._environment.clock.schedule(delay_us, inject_and_repeat)
 
-    def _sound_members(self) -> list[SimulatedMember]:
-        return [member for member in self._checks.running_members() if not member.is_abandoned]
+    def _members_with_current_disk(self) -> list[SimulatedMember]:
+        return [member for member in self._checks.running_members() if not member.has_outdated_disk]
 
-    def _any_member(self) -> SimulatedMember:
+    def _random_member(self) -> SimulatedMember:
         return self._random.choice(list(self._members.values()))
 
     # processes and machines
 
     def _crash(self) -> None:
-        """Crash some members, all of them, or often the leader, and restart each after a while."""
+        """Crash one or two members, often the leader, or all of them; restart each after a random delay."""
         running = self._checks.running_members()
         count = self._random.choice((*CRASH_COUNTS, len(running)))
         leaders = [member for member in running if member.running_process.is_leader]
@@ -105,42 +105,44 @@
             member.restart_later(self._random.randrange(max_delay_us))
 
     def _stall_disk(self) -> None:
-        member = self._any_member()
+        member = self._random_member()
         member.disk_stalled_until_us = self._environment.clock.now_us + self._random.choice(DISK_STALLS_US)
 
     def _jump_clock(self) -> None:
-        """Advance a member's clock and change its rate; a monotonic clock never goes back."""
-        member = self._any_member()
+        """Advance a member's clock and change its rate; the clock is monotonic and never goes back."""
+        member = self._random_member()
         member.clock_offset_us += self._random.choice(CLOCK_JUMPS_US)
         time_before_us = member.local_time_us()
         member.clock_rate = self._random.uniform(0.9, 1.1)
         member.clock_offset_us += max(time_before_us - member.local_time_us(), 0)
 
     def _restore_old_disk(self) -> None:
-        """Replace a member's disk by an older copy: the others must reject it for good."""
+        """Replace a member's disk by an older copy: the others must reject the member permanently."""
         if self._plan.min_voters < 3:
-            return  # losing one of two voters for good would rightly stop the cluster
+            return  # the permanent loss of one of two voters leaves no quorum
         candidates = [
             member
             for member in self._members.values()
-            if len(member.disk_copies) >= 2 and not member.is_abandoned
+            if len(member.disk_copies) >= 2 and not member.has_outdated_disk
         ]
-        if not candidates or any(member.is_abandoned for member in self._members.values()):
+        if not candidates or any(member.has_outdated_disk for member in self._members.values()):
             return
         member = self._random.choice(candidates)
         copy = member.disk_copies[0]
-        if not self._is_known_to_be_older(member, copy):
+        if not self._is_provably_older(member, copy):
             return
         if member.process:
             member.crash()
-        member.is_abandoned = True
+        member.has_outdated_disk = True
         member.disk = copy.copy()
-        self._checks.forget_drains_of(member.member_id)
+        self._checks.discard_drains_of(member.member_id)
         member.start()
 
-    def _is_known_to_be_older(self, member: SimulatedMember, copy: MemoryDisk) -> bool:
-        """Whether all others have met a later process of the member, and so must notice what is missing."""
-        others = [other for other in self._members.values() if other is not member and not other.is_abandoned]
+    def _is_provably_older(self, member: SimulatedMember, copy: MemoryDisk) -> bool:
+        """Return whether all others have seen a later incarnation, and so must detect the missing data."""
+        others = [
+            other for other in self._members.values() if other is not member and not other.has_outdated_disk
+        ]
         proofs = [other.disk.proofs.get(member.member_id) for other in others]
         return all(proof and proof.incarnation.number > copy.incarnation.number + 1 for proof in proofs)
 
@@ -164,16 +166,16 @@
                 blocked |= {(recipient_id, sender_id) for sender_id, recipient_id in blocked}
         self._environment.clock.schedule(self._random.randrange(MAX_PARTITION_US), blocked.clear)
 
-    # the cluster's own changes
+    # changes that the members agree on
 
     def _change_membership(self) -> None:
-        """Add or remove a member, or transfer leadership; asked of any member."""
+        """Request from a random member to add or remove a member, or to transfer leadership."""
         running = self._checks.running_members()
         if not running:
             return
         leaders = [member for member in running if member.running_process.is_leader]
-        asks_leader = leaders and self._plan.max_concurrent_changes > 1
-        member = self._random.choice(leaders if asks_leader else running)
+        targets_leader = leaders and self._plan.max_concurrent_changes > 1
+        member = self._random.choice(leaders if targets_leader else running)
         for _ in range(self._random.randrange(self._plan.max_concurrent_changes) + 1):
             if member.process:
                 self._request_change(member, member.process)
@@ -184,18 +186,18 @@
         if not config.members:
             return
         request = RequestKind.TRANSFER_LEADERSHIP
-        data = self._any_member_id(config)
+        data = self._random_member_id(config)
         if kind == 0 and len(config.members) < self._plan.members + MAX_ADDED_MEMBERS:
             request = RequestKind.ADD_MEMBER
             data = msgspec.msgpack.encode(self._start_joining_member())
         elif kind == 1 and len(config.voter_ids()) > self._plan.min_voters:
             request = RequestKind.REMOVE_MEMBER
-            data = self._any_member_id(config)
+            data = self._random_member_id(config)
         now_us = member.local_time_us()
         process.submit_request(request, data, now_us + CHANGE_TIMEOUT_US, lambda outcome, at: None, now_us)
         member.run_output()
 
-    def _any_member_id(self, config: ClusterConfig) -> bytes:
+    def _random_member_id(self, config: ClusterConfig) -> bytes:
         return self._random.choice([member.id for member in config.members]).to_bytes(8, "big")
 
     def _start_joining_member(self) -> MemberEntry:
@@ -206,8 +208,8 @@
         return entry
 
     def _drain_host(self) -> None:
-        """Discovery tells one member alone that a host drains."""
-        members = self._sound_members()
+        """Report a drain from discovery to a single member."""
+        members = self._members_with_current_disk()
         if not members:
             return
         member = self._random.choice(members)
@@ -217,8 +219,8 @@
         member.run_output()
 
     def _hold_or_return_host(self) -> None:
-        """An operator holds a host or returns it to service; the checks do not follow these hosts' drains."""
-        members = self._sound_members()
+        """Hold a host or return it to service, as operators do; no check covers drains of these hosts."""
+        members = self._members_with_current_disk()
         if not members:
             return
         member = self._random.choice(members)
--- a/harness/fault_plan.py
+++ b/harness/fault_plan.py
@@ -1,18 +1,18 @@
-"""Which faults a simulated cluster has to bear, and how often."""
+"""Kinds and frequencies of the faults in a simulated cluster."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-PROFILE_COUNT = 6  #: kinds of plans, chosen by the seed
+PROFILE_COUNT = 6  #: Number of predefined plans; the seed selects one
 
 
 @dataclass(frozen=True)
 class FaultPlan:
-    """The faults of one run. Intervals are means, in seconds; 0 switches that fault off."""
+    """The faults of one run. Intervals are means in seconds; 0 disables the fault."""
 
     members: int = 4
-    seconds: float = 6.0  # with faults; after them everything is repaired
+    seconds: float = 6.0  # duration of the phase with faults; all faults are repaired afterwards
     clients: int = 3
     loss_probability: float = 0.05
     duplication_probability: float = 0.03
@@ -25,15 +25,15 @@
     disk_restore_interval: float = 5.0
     drain_interval: float = 0.4
     maintenance_interval: float = 0.9
-    max_restart_seconds: float = 0.6  # until a crashed process is started again
-    critical_crash_probability: float = 0.02  # right after a vote was granted, or an election won
-    max_concurrent_changes: int = 1  # of the membership
-    min_voters: int = 3  # that are left by removals
-    max_delay_ms: float = 3.0  # of a message without a long delay
+    max_restart_seconds: float = 0.6  # maximum delay before a crashed process restarts
+    critical_crash_probability: float = 0.02  # per granted vote and per election won
+    max_concurrent_changes: int = 1  # maximum number of membership changes requested at once
+    min_voters: int = 3  # removals leave at least this many voters
+    max_delay_ms: float = 3.0  # maximum delay of a message, except for long delays
 
     @staticmethod
     def for_seed(seed: int) -> FaultPlan:
-        """The plan of a seed: some of everything, or much of one kind of fault."""
+        """Return the plan for a seed: a mix of all faults, or one kind of fault at high frequency."""
         match seed % PROFILE_COUNT:
             case 1:
                 return _FREQUENT_CRASHES
--- a/harness/linearizability.py
+++ b/harness/linearizability.py
@@ -1,4 +1,4 @@
-"""Checks that what clients saw is linearizable, with the store's revisions as the order."""
+"""Checks that the history of client calls is linearizable in the order of the store's revisions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class ClientCall:
-    """A client's read or write, with its times and the revision that it was answered with."""
+    """A client's read or write, with its start and end times and the revision of its answer."""
 
     client: int
     started_us: int
@@ -22,13 +22,13 @@
 
 
 class LinearizabilityError(AssertionError):
-    """The history of the clients' calls is not linearizable; the text says why."""
+    """The history of client calls is not linearizable; the message gives the reason."""
 
 
 def check_linearizable(
     history: Sequence[ClientCall], commands: Mapping[int, bytes], checked_keys: Collection[str]
 ) -> int:
-    """Check a history against the committed commands by index; returns the number of answered writes."""
+    """Check a history against the committed commands by log index; return the number of answered writes."""
     finished = sorted(
         (call for call in history if call.finished_us is not None), key=lambda call: call.finished_us or 0
     )
@@ -43,7 +43,7 @@
 
 
 def _check_real_time_order(history: Sequence[ClientCall], finished: Sequence[ClientCall]) -> None:
-    """A call that starts after another has finished sees at least its revision, and a write a later one."""
+    """Check that a call sees the revisions of all calls finished before it, and a write a later one."""
     seen_revision = 0
     position = 0
     for call in sorted(history, key=lambda call: call.started_us):
@@ -54,13 +54,13 @@
             continue
         is_stale = call.revision < seen_revision
         if is_stale or call.is_write and call.revision <= seen_revision:
-            raise LinearizabilityError(f"{call} came after revision {seen_revision} was seen")
+            raise LinearizabilityError(f"{call} started after revision {seen_revision} was observed")
 
 
 def _replay(
     commands: Mapping[int, bytes], checked_keys: Collection[str]
 ) -> dict[tuple[str, int], bytes | None]:
-    """The value of each key from each of its revisions on; every value is written once."""
+    """Return the values by key and the revision that set them; every value is written once."""
     values: dict[tuple[str, int], bytes | None] = {}
     written: set[bytes] = set()
     for revision, key, value in _changes(commands):
@@ -75,7 +75,7 @@
 
 
 def _changes(commands: Mapping[int, bytes]) -> Iterator[tuple[int, str, bytes | None]]:
-    """All changes that the commands make, from the first one on: revision, key and value."""
+    """Yield the revision, key and value of each change that the commands make, in order."""
     state = KeyValueState(1 << 30)
     for index in sorted(commands):
         state.apply(index, commands[index])
@@ -86,7 +86,7 @@
 def _check_write(call: ClientCall, values: Mapping[tuple[str, int], bytes | None]) -> None:
     key = call.key, call.revision
     if key not in values or values[key] != call.value:
-        raise LinearizabilityError(f"the acknowledged {call} was not applied")
+        raise LinearizabilityError(f"{call} was acknowledged but not applied")
 
 
 def _check_read(call: ClientCall, values: Mapping[tuple[str, int], bytes | None]) -> None:
@@ -94,4 +94,4 @@
     last_revision = max(revisions, default=0)
     value = values[call.key, last_revision] if last_revision else None
     if value != call.value:
-        raise LinearizabilityError(f"{call} read a value that was not there")
+        raise LinearizabilityError(f"{call} returned a value that the key did not have")
--- a/harness/member_cluster.py
+++ b/harness/member_cluster.py
@@ -1,4 +1,4 @@
-"""A store cluster of member processes on loopback, without nodes."""
+"""Runs a store cluster of member processes on loopback, without nodes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class MemberNotStartedError(Exception):
-    """A member's process does not answer."""
+    """A member's process did not answer after its start."""
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
     checkout: Path
 
     def start(self, directory: str, address: str) -> subprocess.Popen[bytes]:
-        """Start a process."""
+        """Start a process for a member."""
         command = [self.python, "-m", self.module, directory, address]
         return subprocess.Popen(command, cwd=self.checkout, stdout=subprocess.DEVNULL)
 
@@ -43,17 +43,17 @@
 
 
 def loopback_addresses(member_count: int) -> dict[str, str]:
-    """Return free addresses, by the names of members."""
+    """Return a free address for each member, keyed by member name."""
     return {f"n{number}": f"127.0.0.1:{port}" for number, port in enumerate(free_ports(member_count))}
 
 
 class MemberCluster:
-    """Members with their addresses and data directories, each run by a process."""
+    """Members with their addresses and data directories, each in a process."""
 
     def __init__(self, addresses: Mapping[str, str], directories: Mapping[str, str]) -> None:
-        self.addresses = addresses  # by name
-        self.directories = directories  # by name
-        self._processes: dict[str, subprocess.Popen[bytes]] = {}  # by name
+        self.addresses = addresses  # keyed by member name
+        self.directories = directories  # keyed by member name
+        self._processes: dict[str, subprocess.Popen[bytes]] = {}  # keyed by member name
 
     @classmethod
     def create(cls, folder: Path, member_count: int = 4) -> MemberCluster:
@@ -71,11 +71,11 @@
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while not self.status(name):
             if time.monotonic() > deadline:
-                raise MemberNotStartedError(f"{name} does not answer after {START_TIMEOUT_SECONDS:.0f} s")
+                raise MemberNotStartedError(f"{name} did not answer within {START_TIMEOUT_SECONDS:.0f} s")
             time.sleep(POLL_SECONDS)
 
     def status(self, name: str) -> dict[str, Any]:
-        """Return a member's status, which is empty if it does not answer."""
+        """Return a member's status; empty if the member does not answer."""
         try:
             with ControlClient(self.directories[name], STATUS_WAIT_SECONDS) as client:
                 status = client.call("status")
@@ -84,7 +84,7 @@
         return status if status.pop("ok") else {}
 
     def leader(self) -> str:
-        """Wait until all members know the leader and have applied the same entries; return its name."""
+        """Wait until all members have the same leader and applied index; return the leader's name."""
         while True:
             statuses = [self.status(name) for name in self.addresses]
             leaders = {status.get("leader", "") for status in statuses}
@@ -95,16 +95,16 @@
             time.sleep(POLL_SECONDS)
 
     def kill(self, name: str) -> None:
-        """End a member's process without a warning."""
+        """Kill a member's process with SIGKILL."""
         self.stop(name, signal.SIGKILL)
 
     def stop(self, name: str, signal_number: int = signal.SIGTERM) -> None:
-        """End a member's process with a signal, and wait until it has ended."""
+        """Send a signal to a member's process, and wait until it has exited."""
         process = self._processes.pop(name)
         process.send_signal(signal_number)
         process.wait()
 
     def close(self) -> None:
-        """End all members."""
+        """Kill all members."""
         for name in list(self._processes):
             self.kill(name)
--- a/harness/memory_disk.py
+++ b/harness/memory_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that keeps what `limerudder.store.disk` keeps, and loses what a crash loses."""
+"""An in-memory disk with the same data as `limerudder.store.disk`; only applied jobs survive a crash."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 @dataclass
 class MemoryDisk:
-    """What is durable at a member."""
+    """The durable data of a member."""
 
     config: ClusterConfig
     hard_state: HardState = field(default_factory=lambda: HardState(0, 0))
-    log: dict[int, Entry] = field(default_factory=dict)  # by index
+    log: dict[int, Entry] = field(default_factory=dict)  # keyed by index
     snapshot: Snapshot | None = None
     incoming_snapshot: IncomingSnapshot | None = None
-    facts: dict[int, bytes] = field(default_factory=dict)  # of the drain log, by number
-    known: dict[str, KnownValue] = field(default_factory=dict)  # by key
+    facts: dict[int, bytes] = field(default_factory=dict)  # encoded drain log facts, keyed by number
+    known: dict[str, KnownValue] = field(default_factory=dict)  # keyed by store key
     incarnation: Incarnation = field(default_factory=lambda: Incarnation(0, 0))
-    proofs: dict[int, DurabilityProof] = field(default_factory=dict)  # by member
+    proofs: dict[int, DurabilityProof] = field(default_factory=dict)  # keyed by member
 
     def copy(self) -> MemoryDisk:
-        """A copy that later jobs do not change."""
+        """Return a copy that later jobs do not change."""
         return replace(
             self, log=dict(self.log), facts=dict(self.facts), known=dict(self.known), proofs=dict(self.proofs)
         )
 
     def load(self) -> DurableState:
-        """What a member starts with."""
+        """Return the state that a member loads at its start."""
         entries = [self.log[index] for index in sorted(self.log)]
         facts = {number: decode_fact(data) for number, data in self.facts.items()}
         saved = PersistentState(self.hard_state, self.snapshot, entries, self.config, self.incoming_snapshot)
@@ -76,14 +76,14 @@
             assert self.incoming_snapshot and self.incoming_snapshot.meta == write.install_snapshot
             self._install_incoming_snapshot(self.incoming_snapshot, write.keep_log_suffix)
         for entry in write.entries:
-            assert entry.index not in self.log, "an entry is written once, or truncated first"
+            assert entry.index not in self.log, "entry overwritten without truncation"
             self.log[entry.index] = entry
 
     def _add_chunk(self, chunk: SnapshotChunk) -> None:
         incoming = self.incoming_snapshot
         is_continued = incoming is not None and incoming.meta == chunk.meta and chunk.number > 0
         chunks = incoming.chunks if incoming and is_continued else ()
-        assert chunk.number == len(chunks), "chunks come in order"
+        assert chunk.number == len(chunks), "snapshot chunk out of order"
         self.incoming_snapshot = IncomingSnapshot(chunk.meta, (*chunks, chunk.data))
 
     def _install_incoming_snapshot(self, incoming: IncomingSnapshot, keep_log_suffix: bool) -> None:
--- a/harness/mutations.py
+++ b/harness/mutations.py
@@ -1,7 +1,7 @@
-"""Defects planted on purpose: changes of a few words in the shipped text, made as a module is imported.
+"""Mutation testing: small defects that are injected into the production code when a module is imported.
 
-They show that the simulation's checks find such defects. The shipped files are never touched: a process that
-is to have a defect calls `install_mutation` before it imports the store.
+They show that the simulation's checks detect such defects. The source files stay unchanged: a process that
+runs with a defect calls `install_mutation` before it imports the store.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class MutationError(LookupError):
-    """A mutation does not fit the text of its module."""
+    """A mutation cannot be applied to the source of its module."""
 
 
 @dataclass(frozen=True)
@@ -45,14 +45,16 @@
     after: str
 
     def path(self) -> Path:
-        """The file of the module."""
+        """Return the path of the module's source file."""
         return ROOT / (self.module.replace(".", "/") + ".py")
 
     def apply(self, source: str) -> str:
-        """The changed source text; raises MutationError unless `before` occurs exactly once in it."""
+        """Return the mutated source; raises MutationError unless `before` occurs exactly once in it."""
         occurrences = source.count(self.before)
         if occurrences != 1:
-            raise MutationError(f"{self.name}: its text occurs {occurrences} times in {self.module}")
+            raise MutationError(
+                f"{self.name}: the text to replace occurs {occurrences} times in {self.module}"
+            )
         return source.replace(self.before, self.after)
 
 
@@ -65,19 +67,19 @@
     ),
     Mutation("term and vote not persisted", MEMORY_DISK, "self.hard_state = write.hard_state", "pass"),
     Mutation(
-        "an older term's entry committed by count",
+        "entry of an older term committed by counting replicas",
         REPLICATION,
         "if index <= state.commit_index or state.log.term_at(index) != state.term:",
         "if index <= state.commit_index:",
     ),
     Mutation(
-        "a majority is half",
+        "half of the voters counted as a majority",
         RAFT_STATE,
         "return 2 * len(voters.intersection(member_ids)) > len(voters)",
         "return 2 * len(voters.intersection(member_ids)) >= len(voters)",
     ),
     Mutation(
-        "vote given to an older log",
+        "vote granted to an outdated log",
         ELECTION,
         "return candidate_log >= (log.last_term, log.last_index)",
         "return True",
@@ -95,25 +97,25 @@
         "can_vote = True",
     ),
     Mutation(
-        "entries taken without comparing what is before them",
+        "entries accepted without checking the previous entry",
         REPLICATION,
         "matches = state.log.term_at(message.prev_log_index) == message.prev_log_term",
         "matches = state.log.term_at(message.prev_log_index) is not None",
     ),
     Mutation(
-        "follower commits past what it knows to agree",
+        "follower commits past its last matching entry",
         REPLICATION,
         "state.advance_commit_to(min(message.leader_commit, match_index))",
         "state.advance_commit_to(min(message.leader_commit, state.log.last_index))",
     ),
     Mutation(
-        "truncation does not reach the disk",
+        "truncation not persisted",
         MEMORY_DISK,
         "if write.truncate_from is not None:",
         "if write.truncate_from == -1:",
     ),
     Mutation(
-        "acknowledged before it is durable",
+        "acknowledged before durable",
         SIMULATED_MEMBER,
         "            if out.job or out.messages_after_job:",
         "            self._send_all(out.messages_after_job)\n            out.messages_after_job = []\n"
@@ -126,10 +128,10 @@
         "return state.log.last_index",
     ),
     Mutation(
-        "several changes of members at once",
+        "concurrent membership changes",
         MEMBERSHIP,
-        'if state.log.config_index > state.commit_index:\n        raise MembershipChangeError("another',
-        'if False:\n        raise MembershipChangeError("another',
+        "if state.log.config_index > state.commit_index:",
+        "if False:",
     ),
     Mutation(
         "membership applied late",
@@ -139,19 +141,19 @@
         "        return 2",
     ),
     Mutation(
-        "reads answered without asking a quorum",
+        "reads answered without confirmation by a quorum",
         READS,
         "self._pending.append(_PendingRead(read_id, state.commit_index, state.read_round))",
         "state.output.confirmed_reads.append(ConfirmedRead(read_id, state.commit_index))",
     ),
     Mutation(
-        "reads of a new leader before its first entry",
+        "reads served by a new leader before its first commit",
         READS,
-        "if not self._state.has_committed_in_term:\n            # An earlier leader",
-        "if False:\n            # An earlier leader",
+        "if not self._state.has_committed_in_term:",
+        "if False:",
     ),
     Mutation(
-        "a round shared with messages already sent",
+        "read round shared with messages already sent",
         READS,
         "            state.read_round += 1\n            self._round_is_unsent",
         "            self._round_is_unsent",
@@ -165,55 +167,55 @@
         "        ]\n        self._header = msgspec.structs.replace(self._header, session_count=0)\n",
     ),
     Mutation(
-        "snapshot without sessions' results",
+        "snapshot without session results",
         STATE_SNAPSHOTS,
         "(session_id, session.acknowledged_serial, dict(session.results))",
         "(session_id, session.acknowledged_serial, {})",
     ),
     Mutation(
-        "a write said again is done again",
+        "repeated write applied again",
         STATE_MACHINE,
         "if command.serial in session.results:",
         "if False:",
     ),
     Mutation(
-        "another's result given after an overwritten entry",
+        "result of another request returned for an overwritten entry",
         LEADER_REQUESTS,
         "if proposed.term != entry.term:",
         "if False:",
     ),
     Mutation(
-        "older log kept under a newer snapshot",
+        "conflicting log suffix kept after a snapshot",
         RAFT_SNAPSHOTS,
         "keep_log_suffix = state.log.term_at(meta.index) == meta.term",
         "keep_log_suffix = state.log.last_index >= meta.index",
     ),
     Mutation(
-        "snapshot pieces of two snapshots mixed",
+        "chunks of two snapshots mixed",
         RAFT_SNAPSHOTS,
         "if self._meta is None or self._meta != meta:",
         "if self._meta is None:",
     ),
     Mutation("facts not persisted", MEMORY_DISK, "self.facts[fact_number] = encode_fact(fact)", "pass"),
     Mutation(
-        "facts dropped when answered, not when applied here",
+        "facts deleted when answered, not when applied locally",
         DRAIN_REPLICATION,
         "self._finish_write_when_applied(host, outcome, now_us)",
         "self._drain_log.finish_write(host, outcome.revision if outcome.succeeded else None)",
     ),
     Mutation("known records not persisted", MEMORY_DISK, "self.known[key] = known_value", "pass"),
     Mutation(
-        "a later, smaller drain replaces a greater one",
+        "later drain with an earlier start replaces the record",
         DRAIN_LOG,
         "return HostRecord(max(record.drained, started_ms), record.held",
         "return HostRecord(started_ms, record.held",
     ),
-    Mutation("an older disk is let in", PEER_AUTHENTICATION, "if outdated is not None:", "if False:"),
+    Mutation("outdated disk accepted", PEER_AUTHENTICATION, "if outdated is not None:", "if False:"),
 ]
 
 
 class _MutatingLoader(importlib.abc.MetaPathFinder, importlib.machinery.SourceFileLoader):
-    """Finds the one module and loads it with the change."""
+    """Finds the module of a mutation and loads its mutated source."""
 
     def __init__(self, mutation: Mutation) -> None:
         super().__init__(mutation.module, str(mutation.path()))
@@ -222,19 +224,19 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """Find only the module that has the defect."""
+        """Find only the module of the mutation."""
         if fullname != self._mutation.module:
             return None
         return importlib.machinery.ModuleSpec(fullname, self, origin=self.path)
 
     def get_code(self, fullname: str) -> CodeType:
-        """Compile the changed text."""
+        """Compile the mutated source."""
         source = self.get_data(self.path).decode()
         code: CodeType = compile(self._mutation.apply(source), self.path, "exec")
         return code
 
 
 def install_mutation(mutation: Mutation) -> None:
-    """Plant the defect in this process; its module must not have been imported yet."""
-    assert mutation.module not in sys.modules, "too late"
+    """Inject the defect into this process; its module must not have been imported yet."""
+    assert mutation.module not in sys.modules, "the module is already imported"
     sys.meta_path.insert(0, _MutatingLoader(mutation))
--- a/harness/simulated_client.py
+++ b/harness/simulated_client.py
@@ -1,4 +1,4 @@
-"""A client that writes and reads through any member, one call after the other."""
+"""A client that writes and reads through random members, one call at a time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 KEYS = ("kv/a", "kv/b", "kv/c")
 CALL_TIMEOUT_US = 400 * MICROSECONDS_PER_MILLISECOND
-CRASH_TIMEOUT_US = 700 * MICROSECONDS_PER_MILLISECOND  #: later than CALL_TIMEOUT_US
+CRASH_TIMEOUT_US = 700 * MICROSECONDS_PER_MILLISECOND  #: Must exceed CALL_TIMEOUT_US
 NO_MEMBER_RETRY_US = 50 * MICROSECONDS_PER_MILLISECOND
 WRITE_RETRY_US = 20 * MICROSECONDS_PER_MILLISECOND
 MAX_PAUSE_US = 40 * MICROSECONDS_PER_MILLISECOND
@@ -37,7 +37,7 @@
 
 
 class SimulatedClient:
-    """Repeats a write, with its serial number, until it is answered; a read that fails is given up."""
+    """Retries a write with the same serial number until it is answered; does not retry a failed read."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._write_count = 0
 
     def start_next_call(self) -> None:
-        """Begin the next call, unless the simulation's faults are over."""
+        """Start the next call, unless the phase with faults has ended."""
         random = self._environment.random
         if not self._environment.faults_active:
             return
@@ -79,7 +79,7 @@
         done: Callback[Outcome | CallFailure],
         call: Callable[[Member, Callback[Outcome | CallFailure]], None],
     ) -> None:
-        """Make a call at a member; `done` is called once, with a failure if the member crashes."""
+        """Call a member; `done` runs once, with a failure if the member crashes before it answers."""
         generation = member.generation
         answered = False
 
@@ -144,7 +144,7 @@
                 return
             if outcome.error:
                 raise InvariantError(
-                    f"seed {self._environment.seed}: a session in use was refused: {outcome.error}"
+                    f"seed {self._environment.seed}: an active session was rejected: {outcome.error}"
                 )
             call.finished_us = clock.now_us
             call.revision = outcome.revision
--- a/harness/simulated_member.py
+++ b/harness/simulated_member.py
@@ -1,4 +1,4 @@
-"""A simulated machine that runs one member: a disk, a local clock, and a process that comes and goes."""
+"""A simulated machine that runs one member: a disk, a local clock, and a process that may restart."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 
 
 class QueuedWrite(NamedTuple):
-    """A job for the disk, and the messages that may leave after it and all jobs before it."""
+    """A job for the disk, and the messages to send once this job and all earlier ones are durable."""
 
     job: DurabilityJob | None
     messages: list[tuple[int, rpc.StoreMessage]]
 
 
 class SimulatedMember:
-    """One machine. Its disk and clock outlive its processes.
+    """One machine, whose disk and clock outlive its processes.
 
-    `generation` changes whenever a process starts or ends: what belongs to an earlier one is dropped.
+    `generation` increases whenever a process starts or ends; pending events of an earlier one are dropped.
     """
 
     def __init__(
@@ -71,29 +71,29 @@
         self.process: Member | None = None
         self.generation = 0
         self._authenticator: PeerAuthenticator | None = None
-        self._connections: dict[int, tuple[int, int]] = {}  # by peer: the generations of peer and member
+        self._connections: dict[int, tuple[int, int]] = {}  # (peer, own) generations, keyed by peer
         self._write_queue: deque[QueuedWrite] = deque()
         self._is_writing = False
         self.clock_rate = 1.0
         self.clock_offset_us = 0
         self.disk_stalled_until_us = 0
-        self.disk_copies: list[MemoryDisk] = []  # of earlier times, the oldest first
-        self.is_abandoned = False  # its disk was replaced by an older copy: the cluster must not accept it
+        self.disk_copies: list[MemoryDisk] = []  # copies of earlier states, oldest first
+        self.has_outdated_disk = False  # an older copy replaced its disk: the cluster must reject the member
 
     # the process
 
     @property
     def running_process(self) -> Member:
-        """The process, which must be running."""
+        """The process; fails if none is running."""
         assert self.process
         return self.process
 
     def local_time_us(self) -> int:
-        """The time on this machine's clock."""
+        """Return the time of this machine's clock."""
         return int(self._environment.clock.now_us * self.clock_rate) + self.clock_offset_us
 
     def start(self) -> None:
-        """Start a process on the disk."""
+        """Start a process from the data on the disk."""
         random = self._environment.random
         self.generation += 1
         self._is_writing = False
@@ -107,11 +107,11 @@
         self.process = Member(self.member_id, self.disk.load(), process_random, now_us, LIMITS, TIMING)
         self._authenticator = PeerAuthenticator(CLUSTER_ID, self.member_id, self.disk.proofs)
         self._connections = {}
-        self._checks.check_drains_remembered(self)
+        self._checks.check_drains_retained(self)
         self._tick(self.generation)
 
     def crash(self) -> None:
-        """End the process. The job that is being written is done or not; later ones are lost."""
+        """End the process. The job being written may or may not become durable; later ones are lost."""
         self.generation += 1
         if self._is_writing and self._write_queue:
             job = self._write_queue[0].job
@@ -120,12 +120,12 @@
         self.process = None
 
     def restart_if_down(self) -> None:
-        """Start a process if none runs."""
-        if self.process is None and not self.is_abandoned:
+        """Start a process if none is running."""
+        if self.process is None and not self.has_outdated_disk:
             self.start()
 
     def restart_later(self, delay_us: int) -> None:
-        """Start a process after a delay if none runs then."""
+        """Start a process after a delay if none is running by then."""
         self._environment.clock.schedule(delay_us, self.restart_if_down)
 
     def _is_current(self, generation: int) -> bool:
@@ -142,7 +142,7 @@
     # output
 
     def run_output(self) -> None:
-        """Carry out what the process asks for, and check the invariants."""
+        """Execute the output of the process, and check the invariants."""
         process = self.running_process
         for _ in range(MAX_OUTPUTS_PER_EVENT):
             out = process.take_output(self.local_time_us())
@@ -182,17 +182,17 @@
         self._is_writing = False
         snapshot = self.disk.apply(job)
         self._send_all(messages)
-        if any(_is_granted_vote(message) for _, message in messages) and self.crash_at_critical_moment():
+        if any(_is_granted_vote(message) for _, message in messages) and self.maybe_crash_after_step():
             return
         self._checks.record_durable_facts(self, job)
         self.running_process.on_job_durable(job.number, snapshot, self.local_time_us())
         self._start_next_write()
         self.run_output()
 
-    # crashes at critical moments
+    # crashes after critical steps
 
-    def crash_at_critical_moment(self) -> bool:
-        """Perhaps crash the process after it did what it must not forget, and restart it at once."""
+    def maybe_crash_after_step(self) -> bool:
+        """Crash the process with some probability, after a step that must be durable, and restart it soon."""
         environment = self._environment
         if not environment.faults_active:
             return False
@@ -209,7 +209,7 @@
 
     def _crash_if_current(self, generation: int) -> None:
         if self._is_current(generation):
-            self.crash_at_critical_moment()
+            self.maybe_crash_after_step()
 
     # connections
 
@@ -220,7 +220,7 @@
         return self._authenticator
 
     def handshake(self, recipient_id: int) -> Handshake:
-        """What this member says of itself when it connects."""
+        """Return the handshake that this member sends when it connects."""
         disk = self.disk
         snapshot_index = disk.snapshot.meta.index if disk.snapshot else 0
         last_index = max(disk.log, default=snapshot_index)
@@ -236,7 +236,7 @@
         )
 
     def check_handshake(self, handshake: Handshake) -> str | None:
-        """Why a peer is rejected, or None; records what an accepted peer has proved of its disk."""
+        """Return why a peer is rejected, or None; records the durability proof of an accepted peer."""
         process = self.running_process
         authenticator = self.authenticator
         rejection = authenticator.rejection_reason(handshake, process.config, process.is_leader)
@@ -245,11 +245,11 @@
         return rejection
 
     def is_connected_to(self, peer: SimulatedMember) -> bool:
-        """Whether this process and the peer's have accepted each other."""
+        """Return whether this process and the peer's have accepted each other."""
         return self._connections.get(peer.member_id) == (peer.generation, self.generation)
 
     def record_connection(self, peer: SimulatedMember) -> None:
-        """Note that this process and the peer's have accepted each other."""
+        """Record that this process and the peer's have accepted each other."""
         self._connections[peer.member_id] = (peer.generation, self.generation)
 
 
--- a/harness/simulated_network.py
+++ b/harness/simulated_network.py
@@ -1,4 +1,4 @@
-"""A network between simulated members that loses, duplicates, delays and reorders messages."""
+"""A simulated network between members that loses, duplicates, delays and reorders messages."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     def __init__(self, environment: SimulationEnvironment, members: Mapping[int, SimulatedMember]) -> None:
         self._environment = environment
         self._members = members
-        self.blocked_links: set[tuple[int, int]] = set()  # sender and recipient
-        self.rejections: list[str] = []  # the reasons that handshakes were rejected for
+        self.blocked_links: set[tuple[int, int]] = set()  # (sender, recipient) pairs
+        self.rejections: list[str] = []  # reasons for rejected handshakes
 
     def send(self, sender: SimulatedMember, recipient_id: int, message: rpc.StoreMessage) -> None:
-        """Send a message, which may be lost or arrive twice."""
+        """Send a message, which may be lost or duplicated."""
         if recipient_id not in self._members:
             return
         data = rpc.encode_message(message)
@@ -67,7 +67,7 @@
         if recipient.process is None or (sender.member_id, recipient_id) in self.blocked_links:
             return
         if sender.process is None or sender.generation != generation:
-            return  # the sender's process has ended, and its connections with it
+            return  # the sender's process has ended, which closed its connections
         if not self._connect(sender, recipient, handshake):
             return
         message = rpc.decode_message(data)
@@ -77,7 +77,7 @@
         recipient.run_output()
 
     def _connect(self, sender: SimulatedMember, recipient: SimulatedMember, handshake: Handshake) -> bool:
-        """Whether both processes accept each other; each pair of processes exchanges handshakes once."""
+        """Return whether both processes accept each other; a pair of processes exchanges handshakes once."""
         if recipient.is_connected_to(sender):
             return True
         checks = ((recipient, handshake), (sender, recipient.handshake(sender.member_id)))
--- a/harness/simulation_environment.py
+++ b/harness/simulation_environment.py
@@ -1,4 +1,4 @@
-"""What all parts of a simulated cluster share."""
+"""The state that all parts of a simulated cluster share."""
 
 from __future__ import annotations
 
@@ -18,6 +18,6 @@
         self.clock = SimulatedClock()
         self.faults_active = True
 
-    def describe_moment(self) -> str:
-        """The seed and the time, as the text of a violation begins."""
+    def describe_time(self) -> str:
+        """Return the seed and the time, as the prefix of a violation's message."""
         return f"seed {self.seed}, {self.clock.seconds():.3f} s"
--- a/harness/single_member.py
+++ b/harness/single_member.py
@@ -1,6 +1,6 @@
-"""A store member as a process of its own, without a node: `python -m harness.single_member FOLDER ADDRESS`.
+"""Runs a store member in a process without a node: `python -m harness.single_member FOLDER ADDRESS`.
 
-It prints `ready` once it takes calls, and runs until it is killed.
+Prints `ready` once it accepts calls, and runs until it is killed.
 """
 
 from __future__ import annotations
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The package map in docs/ARCHITECTURE.md is true: no package imports what its row does not name."""
+"""The package map in docs/ARCHITECTURE.md is correct: packages import only what their rows list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def package_map() -> dict[str, set[str]]:
-    """The table of the architecture page: each package, and the packages that it may import."""
+    """Return the table of the architecture page: the packages that each package may import."""
     text = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
     section = text.split("## Packages and what they may import")[1].split("\n## ")[0]
     return {row["package"]: set(re.findall(r"`([\w.]+)`", row["allowed"])) for row in ROW.finditer(section)}
@@ -29,9 +29,9 @@
 
 
 def package_of(module: str) -> str | None:
-    """The longest package of the map that holds a module; None for modules of other projects."""
-    holding = [name for name in PACKAGES if module == name or module.startswith(f"{name}.")]
-    return max(holding, key=len) if holding else None
+    """Return the innermost package of the map that contains a module; None for third-party modules."""
+    containing = [name for name in PACKAGES if module == name or module.startswith(f"{name}.")]
+    return max(containing, key=len) if containing else None
 
 
 def imported_modules(path: Path) -> Iterator[str]:
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("package", sorted(PACKAGES))
-def test_imports_keep_to_the_map(package: str) -> None:
+def test_imports_match_the_map(package: str) -> None:
     allowed = PACKAGES[package] | {package}
     wrong = []
     for path in source_files():
--- a/tests/test_compare_decisions.py
+++ b/tests/test_compare_decisions.py
@@ -1,4 +1,4 @@
-"""The comparison of simulator journals: equal but for CPU times, or every difference is named."""
+"""The comparison of simulator journals ignores CPU times and reports every other difference."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
         ({"extra": 1}, "quiet-1.extra: only in one journal"),
     ],
 )
-def test_any_other_difference_is_named(tmp_path: Path, figures: dict[str, Any], expected: str) -> None:
+def test_any_other_difference_is_reported(tmp_path: Path, figures: dict[str, Any], expected: str) -> None:
     old = journal(tmp_path, "old.json")
     assert compare(old, journal(tmp_path, "new.json", **figures)) == [expected]
 
 
-def test_other_days_and_other_journals_are_not_compared(tmp_path: Path) -> None:
+def test_different_days_and_other_journals_are_rejected(tmp_path: Path) -> None:
     old = journal(tmp_path, "old.json")
     with pytest.raises(JournalError, match="different days"):
         compare(old, journal(tmp_path, "new.json", name="quiet-2"))
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(("value", "code"), [(0.5, 0), (0.6, 1)])
-def test_the_exit_code_tells_the_verdict(
+def test_the_exit_code_reflects_the_differences(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, value: float, code: int
 ) -> None:
     old = journal(tmp_path, "old.json")
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,4 +1,4 @@
-"""The planted defects fit the shipped text, and are defects rather than errors of their own."""
+"""Each mutation applies to its module, and the mutated module can still be imported."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 @pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda mutation: mutation.name)
-def test_its_text_occurs_exactly_once_in_its_module(mutation: Mutation) -> None:
+def test_text_to_replace_occurs_exactly_once_in_its_module(mutation: Mutation) -> None:
     source = mutation.path().read_text()
     assert source.count(mutation.before) == 1
     assert mutation.apply(source) != source
 
 
 @pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda mutation: mutation.name)
-def test_its_text_begins_and_ends_between_names(mutation: Mutation) -> None:
+def test_text_to_replace_begins_and_ends_between_names(mutation: Mutation) -> None:
     source = mutation.path().read_text()
     start = source.index(mutation.before)
     assert not _splits_a_name(source, start)
@@ -44,17 +44,17 @@
 
 
 @pytest.mark.parametrize("number", range(len(MUTATIONS)), ids=[mutation.name for mutation in MUTATIONS])
-def test_the_changed_module_is_imported(number: int) -> None:
+def test_the_mutated_module_is_importable(number: int) -> None:
     args = [sys.executable, "-c", IMPORT_WITH_MUTATION, str(number)]
-    done = subprocess.run(args, capture_output=True, text=True, cwd=ROOT, check=False)
-    assert (done.returncode, done.stderr) == (0, "")
+    completed = subprocess.run(args, capture_output=True, text=True, cwd=ROOT, check=False)
+    assert (completed.returncode, completed.stderr) == (0, "")
 
 
 def test_names_are_unique() -> None:
     assert len({mutation.name for mutation in MUTATIONS}) == len(MUTATIONS)
 
 
-def test_a_mutation_that_does_not_fit_is_an_error() -> None:
+def test_a_mutation_without_a_unique_match_is_an_error() -> None:
     with pytest.raises(MutationError, match="occurs 0 times"):
         Mutation("gone", "harness.mutations", "a" + "b" * 40, "").apply("text")
     with pytest.raises(MutationError, match="occurs 2 times"):
--- a/tests/test_store_simulation.py
+++ b/tests/test_store_simulation.py
@@ -1,4 +1,4 @@
-"""Clusters on a simulated clock, network and disks: fixed seeds, and defects that must be found."""
+"""Simulated clusters: runs of fixed seeds, and injected defects that the checks must detect."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 SEEDS = 160
 QUICKLY_FOUND = [
     "term and vote not persisted",
-    "vote given to an older log",
+    "vote granted to an outdated log",
     "two votes in a term",
-    "truncation does not reach the disk",
+    "truncation not persisted",
     "membership applied late",
     "snapshot without its sessions",
-    "a write said again is done again",
+    "repeated write applied again",
     "facts not persisted",
-    "facts dropped when answered, not when applied here",
-    "a later, smaller drain replaces a greater one",
+    "facts deleted when answered, not when applied locally",
+    "later drain with an earlier start replaces the record",
 ]
 
 
@@ -38,7 +38,7 @@
         results = list(pool.map(run_simulation, tasks, chunksize=4))
     assert [result.violation for result in results if result.violation] == []
     totals = {name: sum(result.counts[name] for result in results) for name in results[0].counts}
-    # a run in which nothing happens violates nothing
+    # without enough activity the absence of violations would prove nothing
     assert totals["writes"] > 20 * SEEDS, totals
     assert totals["terms"] > 5 * SEEDS, totals
     assert totals["refused"] > 0, totals
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("name", QUICKLY_FOUND)
-def test_a_planted_defect_is_found(name: str) -> None:
+def test_an_injected_defect_is_found(name: str) -> None:
     names = [mutation.name for mutation in MUTATIONS]
     number = names.index(name)
     args = [sys.executable, "-m", "bench.store_defects", "--one", str(number), "--most", "60"]
