--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements, each a command; results stand in docs/."""
+"""Long-running benchmarks and soak tests, one command each; docs/ has the results."""
--- a/bench/compare_decisions.py
+++ b/bench/compare_decisions.py
@@ -1,8 +1,8 @@
 """Compares two simulator journals day by day: `python -m bench.compare_decisions OLD.json NEW.json`.
 
-The simulator repeats a day to the last digit as long as the connection policy decides the same. Every figure
-of every day has to be equal, but for CPU times, which are measured. Exits with 1 on any difference, with 2 if
-the journals cannot be compared.
+As long as the connection policy makes the same decisions, the simulator reproduces every figure of a day
+exactly. All figures must be equal, except for CPU times, which are measured. Exits with 1 on any difference,
+with 2 if the journals cannot be compared.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from pathlib import Path
 from typing import Any
 
-#: Figures that measure the machine, not the decisions.
+#: Figures that depend on the machine rather than on the decisions
 MEASURED_FIGURES = frozenset({"cpu_us_event", "cpu_late"})
 
 
 class JournalError(Exception):
-    """A journal that cannot be read, or that two plays of the same days did not write."""
+    """A journal cannot be read, or two journals are not from runs of the same days."""
 
 
 def load_days(path: Path) -> dict[str, dict[str, Any]]:
@@ -32,7 +32,7 @@
     if journal.get("cmd") != "score":
         raise JournalError(f"{path} was not written by the simulator's score")
     if not days:
-        raise JournalError(f"{path} holds no day")
+        raise JournalError(f"{path} has no days")
     return days
 
 
@@ -51,7 +51,7 @@
 
 
 def compare(old_path: Path, new_path: Path) -> list[str]:
-    """Return all differences between two journals; raise JournalError where they hold different days."""
+    """Return all differences between two journals; raise JournalError if their days differ."""
     old_days = load_days(old_path)
     new_days = load_days(new_path)
     if old_days.keys() != new_days.keys():
@@ -63,13 +63,13 @@
 
 
 def mean_cpu_us_per_event(path: Path) -> float:
-    """Return the mean of the days' CPU time an event, in microseconds."""
+    """Return the CPU time per event in microseconds, averaged over the days."""
     figures = [float(day["cpu_us_event"]) for day in load_days(path).values()]
     return sum(figures) / len(figures)
 
 
 def main() -> int:
-    """Print what differs and the ratio of CPU times."""
+    """Print the differences and the ratio of CPU times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("old", type=Path)
     parser.add_argument("new", type=Path)
@@ -83,7 +83,7 @@
         return 2
     for line in found:
         print(line)
-    print(f"CPU an event: {old_cpu:.1f} us and {new_cpu:.1f} us, ratio {new_cpu / old_cpu:.3f}")
+    print(f"CPU per event: {old_cpu:.1f} us and {new_cpu:.1f} us, ratio {new_cpu / old_cpu:.3f}")
     print(f"{len(found)} figures differ" if found else "all other figures are equal")
     return 1 if found else 0
 
--- a/bench/filter.py
+++ b/bench/filter.py
@@ -1,11 +1,11 @@
-"""Shows whether a node serves where system calls are refused: `python -m bench.filter [--rounds N]`.
-
-The days of the fleet bench refuse fork, other programs, io_uring, splice and sendfile (ENOSYS;
-splice EINVAL), and no process connects to a Unix socket. This probe runs one real node under
-`strace`, which refuses those calls the same way, drives it through clients, a SIGHUP and a SIGTERM,
-and then reads the trace for every such call. The node does its ordinary work: what the probe shows
-is what its own code and its libraries (uvloop's libuv among them) ask for.
-Needs `strace` on the PATH; a measurement, not run in CI.
+"""Tests whether a node works without certain system calls: `python -m bench.filter [--rounds N]`.
+
+The runs of the fleet bench reject fork, other programs, io_uring, splice and sendfile (ENOSYS;
+splice EINVAL), and no process connects to a Unix socket. This command runs one real node under
+`strace`, which injects the same errors, subjects it to clients, a SIGHUP and a SIGTERM, and then
+searches the trace for all such calls. Since the node does its ordinary work, the trace shows the
+calls of its own code and its libraries (such as uvloop's libuv).
+Requires `strace` on the PATH; a measurement, not run in CI.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 from harness.multi_process import MultiProcessTier, wait_until
 
-#: the calls that the fleet bench refuses, and those that reveal a second process or another socket family
+#: Calls that the fleet bench rejects, and calls that reveal a second process or another socket family
 WATCHED_CALLS = (
     "execve,fork,vfork,clone,clone3,io_uring_setup,io_uring_enter,io_uring_register,splice,vmsplice,tee,"
     "sendfile,copy_file_range,socket,socketpair,connect,bind"
 )
-REFUSALS = [
+INJECTED_ERRORS = [
     "io_uring_setup,io_uring_enter,io_uring_register,sendfile,fork,vfork:error=ENOSYS",
     "splice:error=EINVAL",
 ]
@@ -39,13 +39,13 @@
 CREATED_FAMILY_PATTERN = re.compile(r"\((AF_\w+)")
 ADDRESS_FAMILY_PATTERN = re.compile(r"sa_family=(AF_\w+)")
 CLIENT_COUNT = 8
-SERVED_CLIENTS = 40  #: that are waited for before the SIGHUP, and again after it
+SERVED_CLIENTS = 40  #: Number of served clients to wait for before the SIGHUP, and again after it
 EXIT_TIMEOUT_SECONDS = 30
 PRINTED_VIOLATIONS = 3
 
 
 class RoundResult(NamedTuple):
-    """What one round showed."""
+    """The result of one round."""
 
     calls: Counter[str]
     answer_counts: Counter[str]
@@ -54,27 +54,27 @@
 
 
 def strace_command(trace: Path) -> list[str]:
-    """Return a command that follows threads, records the watched calls, and refuses some of them."""
-    refusals = [argument for refusal in REFUSALS for argument in ("-e", f"inject={refusal}")]
-    return ["strace", "-f", "-qq", "-o", str(trace), "-e", f"trace={WATCHED_CALLS}", *refusals]
+    """Return a command that traces the watched calls in all threads, and injects errors into some."""
+    injections = [argument for error in INJECTED_ERRORS for argument in ("-e", f"inject={error}")]
+    return ["strace", "-f", "-qq", "-o", str(trace), "-e", f"trace={WATCHED_CALLS}", *injections]
 
 
 def with_family(name: str, family: re.Match[str] | None) -> str:
-    """Return the call's name with the address family that its arguments show."""
+    """Return the call's name with the address family from its arguments."""
     return f"{name} {family[1] if family else '?'}"
 
 
 def classify_call(name: str, line: str) -> str:
-    """Return the kind of a traced call, as it is printed."""
+    """Return the kind of a traced call, as shown in the output."""
     if name == "execve":
-        return "execve"  # the first is the node itself
+        return "execve"  # the first one starts the node itself
     if name in ("clone", "clone3"):
         return "thread" if "CLONE_THREAD" in line else "new process"
     if name in ("socket", "socketpair"):
         return with_family(name, CREATED_FAMILY_PATTERN.search(line))
     if name in ("connect", "bind"):
         return with_family(name, ADDRESS_FAMILY_PATTERN.search(line))
-    return name + (" (refused)" if "(INJECTED)" in line else "")
+    return name + (" (error injected)" if "(INJECTED)" in line else "")
 
 
 def count_calls(trace: str) -> Counter[str]:
@@ -88,18 +88,18 @@
 
 
 def child_process(pid: int) -> int:
-    """Return the process that the tracer runs; a signal sent to the tracer itself would not reach it."""
+    """Return the pid of the tracer's child; signals to the tracer itself would not reach the child."""
     return int(Path(f"/proc/{pid}/task/{pid}/children").read_text().split()[0])
 
 
 async def wait_for_served_clients(tier: MultiProcessTier, description: str) -> None:
-    """Wait until so many more clients have been served."""
+    """Wait until `SERVED_CLIENTS` more clients have been served."""
     served_before = tier.answer_counts["UP"]
     await wait_until(lambda: tier.answer_counts["UP"] >= served_before + SERVED_CLIENTS, description)
 
 
 async def drive_node(tier: MultiProcessTier) -> int:
-    """Drive the node through clients, a new configuration and a graceful shutdown; return its exit code."""
+    """Subject the node to clients, a reload and a graceful shutdown; return its exit code."""
     await tier.start()
     tier.start_clients(CLIENT_COUNT)
     await wait_for_served_clients(tier, "40 clients served")
@@ -114,7 +114,7 @@
 
 
 async def run_round(folder: Path) -> RoundResult:
-    """Run one node under the tracer, and read the trace."""
+    """Run one node under the tracer, and evaluate the trace."""
     tier = MultiProcessTier(folder, 1, host_count=3, with_store=False)
     trace = folder / "trace"
     tier.nodes[0].command_prefix = strace_command(trace)
@@ -126,23 +126,23 @@
 
 
 def print_round(number: int, result: RoundResult) -> None:
-    """Print what a round showed."""
+    """Print the result of a round."""
     violations = result.violations
     print(
         f"round {number}: exit {result.exit_code}; answers {dict(result.answer_counts)};"
-        f" wrong {len(violations)} {violations[:PRINTED_VIOLATIONS]}"
+        f" violations {len(violations)} {violations[:PRINTED_VIOLATIONS]}"
     )
     for kind, count in sorted(result.calls.items()):
         print(f"    {count:6d}  {kind}")
 
 
 def main() -> None:
-    """Run the rounds and print what each showed."""
+    """Run the rounds and print their results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     rounds = parser.parse_args().rounds
     if not shutil.which("strace"):
-        sys.exit("bench.filter needs strace")
+        sys.exit("bench.filter requires strace on the PATH")
     for number in range(1, rounds + 1):
         with tempfile.TemporaryDirectory() as folder:
             result = uvloop.run(run_round(Path(folder)))
--- a/bench/hot_restart_compatibility.py
+++ b/bench/hot_restart_compatibility.py
@@ -1,10 +1,10 @@
-"""Whether two releases hot-restart into each other under load.
+"""Tests hot restarts from one release to another and back, under load.
 
 Run `python -m bench.hot_restart_compatibility --old DIR`.
 
 A process of the release in DIR, a checkout with its own `.venv`, serves clients over loopback. A process of
-this checkout takes over from it, and the old one gets SIGTERM; then the same the other way round. The exit
-code is 1 if a connection was refused at the listener, lost or cut off, or if a process ended with an error.
+this checkout succeeds it, and the old one receives SIGTERM; then the roles are reversed. The exit code is 1
+if a connection was refused at the listener, lost or cut off, or if a process exited with an error.
 """
 
 from __future__ import annotations
@@ -36,27 +36,27 @@
 MESSAGE_INTERVAL_SECONDS = 0.25
 SHORT_LIFETIMES_SECONDS = (0.2, 1.0)
 PAUSE_AFTER_REFUSAL_SECONDS = 0.05
-#: The node sheds load while many clients come at once to upstreams whose capacity it has not learned yet.
+#: The node sheds load while many clients arrive at once and the capacity of the upstreams is not yet learned
 WARM_UP_SECONDS = 4.0
 PAUSE_AFTER_REJECTION_SECONDS = 0.25
 CLIENT_LINE = "OPEN {request_id:016x} {key:016x} c=chat,t=acme,d=2000\r\n"
 
 
 class Outcome(StrEnum):
-    """What happened to a connection; one may count under several."""
+    """Outcome of a connection; a connection may have several."""
 
     ACCEPTED = "accepted"
-    ANSWERED = "answered"  # UP: an upstream has taken it
+    ANSWERED = "answered"  # UP: an upstream has accepted it
     REJECTED = "rejected"  # BUSY
     FAILED = "failed"  # FAIL or ERR
     MIGRATED = "migrated"  # MOVE
     REFUSED = "refused at the listener"
     LOST = "lost without an answer"
-    CUT_OFF = "cut off without MOVE"  # after UP; also if a message is not answered in time
+    CUT_OFF = "cut off without MOVE"  # after UP; includes messages that are not answered in time
 
 
 FAULTS = (Outcome.REFUSED, Outcome.LOST, Outcome.CUT_OFF)
-OUTCOME_OF_ANSWER = {
+OUTCOMES_BY_ANSWER = {
     b"UP": Outcome.ANSWERED,
     b"BUSY": Outcome.REJECTED,
     b"FAIL": Outcome.FAILED,
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Release:
-    """A checkout of the node, and the Python that runs it."""
+    """A checkout of the node, and its Python interpreter."""
 
     name: str
     directory: Path
@@ -74,7 +74,7 @@
 
 
 class NodeProcess:
-    """One process of the node."""
+    """A node process and its log lines."""
 
     def __init__(self, release: Release, process: asyncio.subprocess.Process) -> None:
         self.release = release
@@ -99,7 +99,7 @@
             await asyncio.wait_for(node._is_listening.wait(), START_TIMEOUT_SECONDS)
         except TimeoutError:
             await node.kill()
-            raise RuntimeError(f"{release.name} did not listen: {node.lines}") from None
+            raise RuntimeError(f"{release.name} did not start to listen: {node.lines}") from None
         return node
 
     async def stop(self) -> int:
@@ -110,7 +110,7 @@
         return self.process.returncode or 0
 
     async def kill(self) -> None:
-        """End the process if it still runs."""
+        """Kill the process if it is still running."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -125,7 +125,7 @@
 
 
 class Load:
-    """Clients that connect again and again, some for a moment and some until they are migrated."""
+    """Clients that reconnect repeatedly, some with short connections and some until migrated."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.outcomes: Counter[Outcome] = Counter()
@@ -135,13 +135,13 @@
         self._clients: list[asyncio.Task[None]] = []
 
     def start(self, long_lived: int, short_lived: int) -> None:
-        """Start so many clients of either sort."""
+        """Start the given numbers of long-lived and short-lived clients."""
         for number in range(long_lived + short_lived):
-            lives_long = number < long_lived
-            self._clients.append(asyncio.create_task(self._run_client(lives_long)))
+            is_long_lived = number < long_lived
+            self._clients.append(asyncio.create_task(self._run_client(is_long_lived)))
 
     async def stop(self) -> None:
-        """End all clients; their connections count no more."""
+        """Stop all clients; their open connections are not counted."""
         for client in self._clients:
             client.cancel()
         results = await asyncio.gather(*self._clients, return_exceptions=True)
@@ -149,9 +149,9 @@
             if isinstance(result, Exception):
                 raise result
 
-    async def _run_client(self, lives_long: bool) -> None:
+    async def _run_client(self, is_long_lived: bool) -> None:
         while True:
-            lifetime = float("inf") if lives_long else self._random.uniform(*SHORT_LIFETIMES_SECONDS)
+            lifetime = float("inf") if is_long_lived else self._random.uniform(*SHORT_LIFETIMES_SECONDS)
             await self._connect_once(lifetime)
 
     async def _connect_once(self, lifetime_seconds: float) -> None:
@@ -169,11 +169,11 @@
             writer.close()
 
     async def _open_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Send a request; return whether an upstream has taken it."""
+        """Send a request; return whether an upstream has accepted it."""
         request_id = next(self._request_ids)
         writer.write(CLIENT_LINE.format(request_id=request_id, key=request_id).encode())
         answer = await _read_line(reader)
-        outcome = OUTCOME_OF_ANSWER.get(answer.partition(b" ")[0], Outcome.LOST)
+        outcome = OUTCOMES_BY_ANSWER.get(answer.partition(b" ")[0], Outcome.LOST)
         self.outcomes[outcome] += 1
         if outcome is Outcome.REJECTED:
             await asyncio.sleep(PAUSE_AFTER_REJECTION_SECONDS)
@@ -182,7 +182,7 @@
     async def _exchange_messages(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, lifetime_seconds: float
     ) -> None:
-        """Send messages that the upstream answers, until the lifetime is over or the connection ends."""
+        """Exchange messages with the upstream until the lifetime is over or the connection ends."""
         sent_seconds = 0.0
         while sent_seconds < lifetime_seconds:
             writer.write(b"PING\r\n")
@@ -198,7 +198,7 @@
 
 
 async def _read_line(reader: asyncio.StreamReader) -> bytes:
-    """Return the next line without its end; nothing if the connection ended or none came in time."""
+    """Return the next line without its terminator; empty if the connection ended or on timeout."""
     try:
         line = await asyncio.wait_for(reader.readline(), ANSWER_TIMEOUT_SECONDS)
     except (OSError, TimeoutError):
@@ -207,7 +207,7 @@
 
 
 class Measurement:
-    """One run: old release, this one, and the old one again."""
+    """One run: the old release, then this one, then the old one again."""
 
     def __init__(self, folder: Path, old: Release, new: Release, serve_seconds: float) -> None:
         self._folder = folder
@@ -223,7 +223,7 @@
         self.process_faults: list[str] = []
 
     async def run(self, long_lived: int, short_lived: int) -> None:
-        """Run it and print what was seen."""
+        """Run all restarts and print the outcomes."""
         try:
             await self._prepare()
             serving = await self._start_process(self._old)
@@ -244,17 +244,17 @@
         listed = {upstream.name: host(upstream.name, upstream.address) for upstream in self._upstreams}
         self._discovery.entries = listed
         node_settings = settings(probes=True, peers=False)
-        # of what the stand-in upstreams report all is constant; from a constant load the node would conclude
-        # that they are full, and shed load
+        # The stand-in upstreams report constant values only; a constant load would make the node
+        # conclude that they are full, and shed load.
         node_settings["loadInfo"]["fields"] = ["inflight"]
-        given = configuration(
+        node_environment = configuration(
             self._folder,
             listen=f"127.0.0.1:{self._listen_port}",
             discovery=self._discovery.address,
             known=hosts(*listed.values()),
             settings=node_settings,
         )
-        self._environment = os.environ | given | {"TMPDIR": str(self._folder)}
+        self._environment = os.environ | node_environment | {"TMPDIR": str(self._folder)}
 
     async def _start_process(self, release: Release) -> NodeProcess:
         console = {"PROXY_CONSOLE": f"127.0.0.1:{self._console_ports.pop()}"}
@@ -263,19 +263,19 @@
         return node
 
     async def _replace(self, serving: NodeProcess, release: Release) -> NodeProcess:
-        """Have a process of this release take over, and stop the one that serves."""
+        """Start a successor of this release, and stop the serving process."""
         before = self.load.outcomes.copy()
         successor = await self._start_process(release)
         await self._stop_process(serving)
         await asyncio.sleep(self._serve_seconds)
-        seen = self.load.outcomes - before
-        print(f"{serving.release.name} to {release.name}: {describe(seen)}", flush=True)
+        new_outcomes = self.load.outcomes - before
+        print(f"{serving.release.name} to {release.name}: {describe(new_outcomes)}", flush=True)
         return successor
 
     async def _stop_process(self, node: NodeProcess) -> None:
         code = await node.stop()
         if code != 0:
-            self.process_faults.append(f"{node.release.name} ended with {code}: {node.lines}")
+            self.process_faults.append(f"{node.release.name} exited with code {code}: {node.lines}")
 
     async def _clean_up(self) -> None:
         for node in self._processes:
@@ -286,17 +286,17 @@
 
 
 def describe(outcomes: Counter[Outcome]) -> str:
-    """Return all counts on one line."""
+    """Return all counts in one line."""
     return ", ".join(f"{outcomes[outcome]} {outcome}" for outcome in Outcome)
 
 
 def main() -> int:
-    """Measure, and judge what was seen."""
+    """Run the restarts and evaluate the outcomes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--old", type=Path, required=True, help="a checkout of the other release")
     parser.add_argument("--long-lived", type=int, default=100, help="clients that stay until migrated")
-    parser.add_argument("--short-lived", type=int, default=60, help="clients that stay for a moment")
-    parser.add_argument("--seconds", type=float, default=2.0, help="of service between two restarts")
+    parser.add_argument("--short-lived", type=int, default=60, help="clients with short connections")
+    parser.add_argument("--seconds", type=float, default=2.0, help="seconds of service between restarts")
     arguments = parser.parse_args()
     old = Release("old", arguments.old, arguments.old / ".venv/bin/python")
     new = Release("new", Path(__file__).parent.parent, Path(sys.executable))
@@ -305,7 +305,7 @@
         run = measurement.run(arguments.long_lived, arguments.short_lived)
         uvloop.run(asyncio.wait_for(run, MAX_RUN_SECONDS))
     outcomes = measurement.load.outcomes
-    print(f"in all: {describe(outcomes)}")
+    print(f"total: {describe(outcomes)}")
     for fault in measurement.process_faults:
         print(fault)
     is_faulty = measurement.process_faults or any(outcomes[fault] for fault in FAULTS)
--- a/bench/lab_load.py
+++ b/bench/lab_load.py
@@ -1,7 +1,7 @@
-"""Measures the load generator's lateness, and whether a stall of 2 s shows: `python -m bench.lab_load`.
+"""Measures the load generator's lateness, and whether it detects a stall of 2 s: `python -m bench.lab_load`.
 
-The generator runs against a stand-in host in a process of its own,
-which answers at once except during the stall.
+The generator runs against a stand-in host in a separate process, which answers immediately except during
+the stall.
 """
 
 from __future__ import annotations
@@ -22,35 +22,35 @@
 from limerudder.loadtest.load_generator import LoadGenerator, raise_descriptor_limit
 
 SECOND = 1_000_000
-SLOW_US = 100_000  #: far over what an answer takes outside the stall
+SLOW_US = 100_000  #: Far above the latency of answers outside a stall
 ACCEPTED_ANSWER = b"UP 77\r\n"
 SEED = 1
 MEDIAN_LIFETIME_SECONDS = 0.05
 LISTEN_BACKLOG = 4096
-RATES = (1000, 3000, 5000, 7000)  #: arrivals a second, without a stall
+RATES = (1000, 3000, 5000, 7000)  #: Arrivals per second in the runs without a stall
 STALL_RATE = 1000
 STALL_RUN_SECONDS = 9.0
 STALL_SECONDS = 2.0
 
 
 class StallTimes(NamedTuple):
-    """When a stall began and ended, in seconds since the generator's start."""
+    """Start and end of a stall, in seconds since the generator's start."""
 
     begin_seconds: float
     end_seconds: float
 
 
 class Measurement(NamedTuple):
-    """What a run measured, and how many arrivals a stall delayed by more than `SLOW_US`."""
+    """Latencies of a run, and the number of arrivals that a stall delayed by more than `SLOW_US`."""
 
     histogram: LatencyHistogram
     delayed_count: int
 
 
 class HostConnection(asyncio.Protocol):
-    """A connection to the stand-in host, which accepts each request, and during a stall only after it."""
+    """A connection to the stand-in host, which accepts all requests; during a stall, only at its end."""
 
-    waiting: list[HostConnection] | None = None  # the unanswered connections of a stall; None outside a stall
+    waiting: list[HostConnection] | None = None  # unanswered connections during a stall, otherwise None
     transport: asyncio.Transport
 
     def connection_made(self, transport: Any) -> None:
@@ -58,7 +58,7 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer the first line, or let it wait for the end of the stall."""
+        """Answer the first line, immediately or at the end of the stall."""
         if HostConnection.waiting is not None:
             HostConnection.waiting.append(self)
         else:
@@ -70,7 +70,7 @@
 
 
 async def stall(seconds: float) -> None:
-    """Answer nothing for a time, and then all that waited."""
+    """Delay all answers for some time, then send them."""
     HostConnection.waiting = []
     await asyncio.sleep(seconds)
     waiting = HostConnection.waiting
@@ -80,7 +80,7 @@
 
 
 async def serve(pipe: Connection, stall_at_seconds: float, stall_seconds: float) -> None:
-    """Serve until the process is terminated; the pipe's other end sends when the generator started."""
+    """Serve until the process is terminated; receives the generator's start time from the pipe."""
     raise_descriptor_limit()
     loop = asyncio.get_running_loop()
     server = await loop.create_server(HostConnection, "127.0.0.1", 0, backlog=LISTEN_BACKLOG)
@@ -100,7 +100,7 @@
 
 
 async def generate_load(arrivals: list[Arrival], target: Address, pipe: Connection) -> LatencyHistogram:
-    """Run the generator against the host, and send the host when it started."""
+    """Run the generator against the host, and send its start time to the host."""
     generator = LoadGenerator(arrivals, [target])
     running = asyncio.ensure_future(generator.run())
     await asyncio.sleep(0)
@@ -109,14 +109,14 @@
 
 
 def count_delayed(arrivals: list[Arrival], times: StallTimes) -> int:
-    """Return how many arrivals a stall delayed by more than `SLOW_US`."""
+    """Return the number of arrivals that a stall delayed by more than `SLOW_US`."""
     begin_us = times.begin_seconds * SECOND
     end_us = times.end_seconds * SECOND - SLOW_US
     return sum(begin_us <= arrival.at_us < end_us for arrival in arrivals)
 
 
 def measure(rate: float, seconds: float, stall_seconds: float) -> Measurement:
-    """Run the generator against a host that stalls after a third of the run, or never if that is 0 s."""
+    """Run the generator against a host that stalls after a third of the run; 0 s disables the stall."""
     pipe, host_pipe = multiprocessing.Pipe()
     arguments = (host_pipe, seconds / 3, stall_seconds)
     process = multiprocessing.Process(target=run_stand_in_host, args=arguments, daemon=True)
@@ -132,7 +132,7 @@
 
 
 def print_lateness(rate: float, seconds: float) -> None:
-    """Measure and print how late the generator is at a rate of arrivals."""
+    """Measure and print the generator's lateness at an arrival rate."""
     summary = measure(rate, seconds, 0).histogram.summary()
     print(
         f"{rate}/s: {summary['came']} came, {summary['answers']}, latency {summary['latency_us']}", flush=True
@@ -145,12 +145,12 @@
     histogram, delayed = measure(STALL_RATE, STALL_RUN_SECONDS, STALL_SECONDS)
     slow = histogram.count_slower_than(SLOW_US)
     deviation = slow / delayed - 1
-    print(f"a stall of 2 s at 1000/s: {delayed} came in it, {slow} counted as slow ({deviation:+.2%})")
+    print(f"stall of 2 s at 1000/s: {delayed} arrivals delayed, {slow} counted as slow ({deviation:+.2%})")
     print(f"    latency {histogram.summary()['latency_us']}")
 
 
 def main() -> int:
-    """Measure the lateness at several rates, and then a stall."""
+    """Measure the lateness at several rates, then the effect of a stall."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=6.0)
     arguments = parser.parse_args()
--- a/bench/process_soak.py
+++ b/bench/process_soak.py
@@ -1,8 +1,8 @@
-"""Soaks real node processes under overlapping faults: `python -m bench.process_soak --seeds 50`.
+"""Soak test of real node processes with overlapping faults: `python -m bench.process_soak --seeds 50`.
 
-A line for each seed: its faults, requests served, the fullest window of a host in slow start over what is
-allowed, and what was found. The exit code says whether anything was. With `--hosts 3200 --nodes 6` the tier
-lists thousands of hosts, and nodes are killed and stopped while they start.
+Prints a line per seed: the faults, the requests served, the maximum ratio of requests to the limit in a
+window of a host in slow start, and the violations. The exit code is 1 if there were any. With
+`--hosts 3200 --nodes 6` the tier lists thousands of hosts, and nodes are killed and stopped during startup.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from harness.many_hosts_soak import ManyHostsSoak
 from harness.process_soak import ProcessSoak, SoakReport
 
-MANY_HOSTS = 1000  #: from so many on all hosts share an address
+MANY_HOSTS = 1000  #: Minimum number of hosts at which all hosts share one address
 
 
 def soak(seed: int, nodes: int, hosts: int, clients: int, seconds: float) -> SoakReport:
@@ -29,7 +29,7 @@
 
 
 def main() -> None:
-    """Run the seeds one after the other."""
+    """Run the seeds sequentially."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
@@ -44,10 +44,10 @@
         failed += bool(report.violations)
         print(
             f"seed {seed}: {len(report.faults)} faults, {report.answers} served,"
-            f" fullest window {report.worst_share:.2f}, violations {report.violations[:3]}",
+            f" worst slow-start window {report.worst_share:.2f}, violations {report.violations[:3]}",
             flush=True,
         )
-    print(f"{failed} of {options.seeds} seeds found something")
+    print(f"{failed} of {options.seeds} seeds had violations")
     raise SystemExit(failed > 0)
 
 
--- a/bench/pysyncobj_writes.py
+++ b/bench/pysyncobj_writes.py
@@ -1,4 +1,4 @@
-"""Writes to PySyncObj on four processes, for the comparison in `bench.store_speed`."""
+"""Measures writes to PySyncObj in four processes, for the comparison in `bench.store_speed`."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 MEMBERS = 4
 POLL_SECONDS = 0.01
-DRAIN_SECONDS = 5  #: for writes that are in flight at the end
+DRAIN_SECONDS = 5  #: Maximum wait for writes in flight at the end of a run
 
 
 @dataclass(frozen=True)
 class Plan:
-    """What the leader's process writes."""
+    """The writes of the leader's process."""
 
     in_flight: int
     seconds: float
@@ -27,7 +27,7 @@
 
 
 def time_writes(journals: Path, in_flight: int, seconds: float, value: str, keys: int) -> list[float]:
-    """Write through the leader of a new cluster; return the seconds that each write took."""
+    """Write through the leader of a new cluster; return the latency of each write in seconds."""
     plan = Plan(in_flight, seconds, value, keys)
     ports = free_ports(MEMBERS)
     pipes: list[Connection] = []
@@ -52,7 +52,7 @@
 
 
 def _run_member(number: int, ports: list[int], journals: str, plan: Plan, pipe: Connection) -> None:
-    """Run one member; says whether it leads, is told whether to write, and sends what its writes took."""
+    """Run one member: report whether it leads, receive whether to write, and send the write latencies."""
     keys = _create_member(number, ports, journals)
     while not keys.isReady():
         time.sleep(POLL_SECONDS)
@@ -89,7 +89,7 @@
 
 
 class PySyncObjWriter:
-    """Keeps a constant number of writes in flight for some time."""
+    """Keeps a constant number of writes in flight for a given time."""
 
     def __init__(self, keys: Any, plan: Plan) -> None:
         self.latencies: list[float] = []
@@ -100,7 +100,7 @@
         self._end = time.perf_counter() + plan.seconds
 
     def run(self) -> None:
-        """Write until the end, and wait for what is in flight then."""
+        """Write until the end time, then wait for the writes in flight."""
         for _ in range(self._plan.in_flight):
             self._write()
         while self._in_flight and time.perf_counter() < self._end + DRAIN_SECONDS:
--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -1,9 +1,9 @@
-"""Whether a store can be upgraded member by member without losing a write.
+"""Tests that a store can be upgraded member by member without losing a write.
 
 `python -m bench.rolling_upgrade --old DIR`. All members of a cluster first run from an old checkout. Each is
-then stopped and started from this checkout, on the same data directory, while a client goes on writing in
-one session. In the end every member must have each acknowledged write, at the revision of its
-acknowledgement, and must have applied it once.
+then stopped and restarted from this checkout, with the same data directory, while a client keeps writing in
+one session. At the end every member must have each acknowledged write at its acknowledged revision, and must
+have applied it exactly once.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 CALL_WAIT_SECONDS = 1.0
 RETRY_SECONDS = 0.02
 WRITE_INTERVAL_SECONDS = 0.002
-MAX_WRITES = 9_000  #: fewer than the items that one answer holds
+MAX_WRITES = 9_000  #: Fewer than the maximum number of items in one answer
 WRITES_BETWEEN_UPGRADES = 100
 KEY_PREFIX = "kv/"
-OLD_MODULE = "rigs.lone"  #: the old checkout's program for one member
+OLD_MODULE = "rigs.lone"  #: Module of the old checkout that runs one member
 RUN_COMMAND_LINE = "import limerudder.cli; limerudder.cli.main()"
 
 
@@ -47,15 +47,15 @@
 
 @dataclass
 class WriteLog:
-    """What the client has written."""
+    """The writes of the client and their outcomes."""
 
-    acknowledged: dict[str, int] = field(default_factory=dict)  # revision, by key
-    unanswered: set[str] = field(default_factory=set)  # keys whose write was given up: it may have happened
-    retries: Counter[str] = field(default_factory=Counter)  # by the reason
+    acknowledged: dict[str, int] = field(default_factory=dict)  # revisions, keyed by key
+    unanswered: set[str] = field(default_factory=set)  # keys of writes without an answer; they may be applied
+    retries: Counter[str] = field(default_factory=Counter)  # keyed by reason
 
 
 class SessionClient(threading.Thread):
-    """Writes one new key after the other in a session; repeats each at the next member until acknowledged."""
+    """Writes new keys sequentially in a session; retries each at the next member until acknowledged."""
 
     def __init__(self, directories: list[str]) -> None:
         super().__init__(daemon=True)
@@ -65,7 +65,7 @@
         self._attempts = 0
 
     def run(self) -> None:
-        """Write until told to stop."""
+        """Write until stopped."""
         session = self._call_until_ok("open")
         if session is None:
             return
@@ -84,13 +84,13 @@
                 return
 
     def stop(self) -> None:
-        """End after the write that is under way."""
+        """Stop after the current write."""
         self._stopping.set()
         if self.is_alive():
             self.join(CALL_WAIT_SECONDS * MEMBERS)
 
     def _call_until_ok(self, name: str, **arguments: Any) -> dict[str, Any] | None:
-        """Repeat a call, the same each time, until a member carries it out; None if told to stop."""
+        """Retry an unchanged call until a member executes it; return None if stopped."""
         while True:
             answer = self._call(name, arguments)
             if answer["ok"]:
@@ -110,7 +110,7 @@
 
 
 class RollingUpgrade:
-    """One run: a cluster of an old checkout, upgraded under load."""
+    """One run: the rolling upgrade of a cluster from an old checkout, under load."""
 
     def __init__(self, old_checkout: Path, folder: Path) -> None:
         self._deadline = time.monotonic() + TIME_LIMIT_SECONDS
@@ -122,18 +122,18 @@
         self._client = SessionClient(directories)
 
     def run(self) -> int:
-        """Upgrade all members; return how many writes were lost or applied twice."""
+        """Upgrade all members; return the number of lost, misplaced, repeated and unknown writes."""
         cluster = self._cluster
         try:
             for name in cluster.addresses:
                 cluster.start(name, self._old_program)
-            self._wait_until_agreed()
+            self._wait_until_consistent()
             self._client.start()
             self._wait_for_writes()
             for name in cluster.addresses:
                 self._upgrade(name)
             self._client.stop()
-            self._wait_until_agreed()
+            self._wait_until_consistent()
             return self._check()
         finally:
             self._client.stop()
@@ -144,17 +144,17 @@
         started = time.monotonic()
         self._cluster.stop(name)
         self._cluster.start(name, CURRENT_PROGRAM)
-        self._wait_until_agreed()
+        self._wait_until_consistent()
         seconds = time.monotonic() - started
         self._wait_for_writes()
         role = "leader" if was_leader else "follower"
         acknowledged = len(self._client.log.acknowledged)
         print(
-            f"{name} ({role}) upgraded, all agree after {seconds:.2f} s; {acknowledged} writes acknowledged"
+            f"{name} ({role}) upgraded, consistent after {seconds:.2f} s; {acknowledged} writes acknowledged"
         )
 
-    def _wait_until_agreed(self) -> None:
-        """Wait until all members know the same leader and none is behind an entry committed before."""
+    def _wait_until_consistent(self) -> None:
+        """Wait until all members have the same leader and have applied all entries committed so far."""
         committed_before = self._max_committed()
         while True:
             statuses = self._statuses()
@@ -177,16 +177,16 @@
 
     def _pause(self) -> None:
         if time.monotonic() > self._deadline:
-            raise UpgradeTimeoutError(f"not done after {TIME_LIMIT_SECONDS:.0f} s")
+            raise UpgradeTimeoutError(f"not finished after {TIME_LIMIT_SECONDS:.0f} s")
         time.sleep(RETRY_SECONDS)
 
     def _check(self) -> int:
         log = self._client.log
         print(f"{len(log.acknowledged)} writes acknowledged; retried calls by reason: {dict(log.retries)}")
-        broken = 0
+        violations = 0
         for name in self._cluster.addresses:
-            broken += self._check_member(name)
-        return broken
+            violations += self._check_member(name)
+        return violations
 
     def _check_member(self, name: str) -> int:
         log = self._client.log
@@ -194,20 +194,20 @@
             answer = client.call("get", prefix=KEY_PREFIX, stale=True)
         items = {item["key"]: item for item in answer["items"]}
         lost = sum(key not in items for key in log.acknowledged)
-        moved = sum(
+        misplaced = sum(
             key in items and items[key]["modified"] != log.acknowledged[key] for key in log.acknowledged
         )
         repeated = sum(int(item["version"] != 1) for item in items.values())
         unknown = sum(key not in log.acknowledged and key not in log.unanswered for key in items)
         print(
-            f"{name}: {len(items)} keys; {lost} acknowledged writes lost, {moved} at another revision,"
-            f" {repeated} applied more than once, {unknown} never written"
+            f"{name}: {len(items)} keys; {lost} acknowledged writes lost, {misplaced} at another revision,"
+            f" {repeated} applied more than once, {unknown} never written by the client"
         )
-        return int(lost + moved + repeated + unknown)
+        return int(lost + misplaced + repeated + unknown)
 
 
 def _init_with(program: MemberProgram, folder: Path, addresses: dict[str, str]) -> list[str]:
-    """Create the data directories with another checkout's command line; return their paths."""
+    """Create the data directories with the CLI of another checkout; return their paths."""
     members = [f"{name}={address}" for name, address in addresses.items()]
     command = [program.python, "-c", RUN_COMMAND_LINE, "state", "--json", "init", str(folder), *members]
     finished = subprocess.run(command, cwd=program.checkout, check=True, capture_output=True, text=True)
@@ -216,18 +216,18 @@
 
 
 def main() -> int:
-    """Run the upgrade; exit code 1 on a loss."""
+    """Run the upgrade; the exit code is 1 on a violation or a time-out."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--old", type=Path, required=True, help="the old checkout, with its .venv")
     old_checkout = parser.parse_args().old.resolve()
     with tempfile.TemporaryDirectory() as folder:
         try:
-            broken = RollingUpgrade(old_checkout, Path(folder) / "members").run()
+            violations = RollingUpgrade(old_checkout, Path(folder) / "members").run()
         except (UpgradeTimeoutError, MemberNotStartedError) as error:
             print(f"failed: {error}")
             return 1
-    print(f"broken promises: {broken}")
-    return 1 if broken else 0
+    print(f"violations: {violations}")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/bench/slow_start_candidates.py
+++ b/bench/slow_start_candidates.py
@@ -1,9 +1,10 @@
-"""Which cause overloads servers in slow start: the fleet simulation with one cause at a time.
+"""Finds which cause overloads servers in slow start: fleet simulations with one cause at a time.
 
     python -m bench.slow_start_candidates [--seeds N]
 
-Each line plays a fault with one thing taken away or put in place of what the nodes estimate, and prints how
-many seeds and windows exceed the operators' term, and the worst. The true rate of a server is known here.
+Each line simulates a fault with one factor removed, or with its true value instead of the nodes' estimate. It
+shows how many seeds and windows exceed the operators' limit, and the worst ratio. The simulation has the true
+rate of each server.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class Case(NamedTuple):
-    """One line of the table."""
+    """One row of the table."""
 
     candidate: str
     description: str
@@ -36,12 +37,12 @@
     Case("A", "rolling restart, servers and nodes", LARGE, faults.rolling_restart),
     Case("A", "rolling restart, 30 nodes", SMALL, faults.rolling_restart),
     Case("A", "six in ten servers replaced, 30 nodes", SMALL, faults.fast_replacement),
-    Case("B", "clocks an hour ahead", LARGE, faults.clocks_ahead),
-    Case("B", "the same restarts, clocks right", LARGE, faults.correct_clocks),
-    Case("B", "clocks an hour behind", LARGE, faults.clocks_behind),
-    Case("C", "nodes restart over and over", LARGE, faults.nodes_restart_over_and_over),
-    Case("D", "quiet, then three times the rate", LARGE, faults.crowd_after_quiet),
-    Case("H", "twice the processes that the settings tell, roll", MORE_PROCESSES, faults.rolling_restart),
+    Case("B", "clocks one hour ahead", LARGE, faults.clocks_ahead),
+    Case("B", "the same restarts, correct clocks", LARGE, faults.correct_clocks),
+    Case("B", "clocks one hour behind", LARGE, faults.clocks_behind),
+    Case("C", "nodes restart repeatedly", LARGE, faults.nodes_restart_over_and_over),
+    Case("D", "low load, then three times the rate", LARGE, faults.crowd_after_quiet),
+    Case("H", "twice the processes in the settings, rolling restart", MORE_PROCESSES, faults.rolling_restart),
 ]
 
 
--- a/bench/slow_start_soak.py
+++ b/bench/slow_start_soak.py
@@ -1,9 +1,9 @@
-"""Plays all faults of slow start in the fleet simulation, over many seeds, on several cores.
+"""Simulates all slow-start faults in the fleet simulation, with many seeds on several cores.
 
     python -m bench.slow_start_soak [--seeds N] [--first SEED] [--workers N] [--setup TEXT] [--fault TEXT]
 
-A line for each fleet and fault: how many seeds and windows exceed the operators' term, the fullest window
-over what is allowed there, and the share of requests that were rejected from the fault's beginning on.
+Prints a row per fleet and fault: how many seeds and windows exceed the operators' limit, the maximum ratio of
+requests to that limit in a window, and the share of requests rejected since the start of the fault.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Print the table; the exit code says whether any window exceeds the term."""
+    """Print the table; the exit code is 1 if any window exceeds the limit."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=4)
     parser.add_argument("--first", type=int, default=1)
@@ -30,13 +30,13 @@
     print("| --- | --- | --- | --- | --- | --- |")
     total = 0
     with ProcessPoolExecutor(options.workers) as pool:
-        plays = [Play(setup, fault, seed) for setup, fault in cases for seed in seeds]
-        outcomes = list(pool.map(run_play, plays))
+        runs = [Play(setup, fault, seed) for setup, fault in cases for seed in seeds]
+        outcomes = list(pool.map(run_play, runs))
     for number, (setup, fault) in enumerate(cases):
-        of_case = outcomes[number * len(seeds) : (number + 1) * len(seeds)]
-        total += sum(outcome.excess.worst > 1 for outcome in of_case)
-        print(_row(setup, fault, of_case), flush=True)
-    print(f"{total} of {len(plays)} plays exceed the term")
+        case_outcomes = outcomes[number * len(seeds) : (number + 1) * len(seeds)]
+        total += sum(outcome.excess.worst > 1 for outcome in case_outcomes)
+        print(_row(setup, fault, case_outcomes), flush=True)
+    print(f"{total} of {len(runs)} runs exceed the limit")
     raise SystemExit(total > 0)
 
 
--- a/bench/store_cost.py
+++ b/bench/store_cost.py
@@ -1,6 +1,6 @@
-"""What the store costs a node's ordinary path: `python -m bench.store_cost`.
+"""Measures the store's overhead on request processing: `python -m bench.store_cost`.
 
-CPU time of node processes under the same load, with the store on and off in turn; the ratio of each pair.
+Compares the CPU time of node processes under the same load, alternately with the store enabled and disabled.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 MILLISECONDS_PER_SECOND = 1000
 BYTES_PER_MEGABYTE = 1e6
-USER_TICKS_FIELD = 11  #: of /proc/PID/stat, counted after the command's name
+USER_TICKS_FIELD = 11  #: Field index in /proc/PID/stat, starting after the command name
 SYSTEM_TICKS_FIELD = 12
 
 
 class Cost(NamedTuple):
-    """What serving the load has cost."""
+    """CPU and memory cost of serving the load."""
 
-    cpu_ms_per_request: float  # of all nodes together
-    max_memory_megabytes: float  # resident, of the largest node
+    cpu_ms_per_request: float  # total over all nodes
+    max_memory_megabytes: float  # resident memory of the largest node
 
 
 def cpu_seconds(pid: int) -> float:
@@ -47,7 +47,7 @@
 
 
 async def measure(folder: Path, with_store: bool, clients: int, seconds: float) -> Cost:
-    """Serve the load for some seconds, and return what that has cost."""
+    """Serve the load for some seconds, and return its cost."""
     tier = MultiProcessTier(folder, NODES, with_store=with_store)
     try:
         await tier.start()
@@ -68,7 +68,7 @@
 
 
 def measure_in_new_folder(with_store: bool, clients: int, seconds: float) -> Cost:
-    """Measure a new tier."""
+    """Measure a new tier in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return uvloop.run(measure(Path(folder), with_store, clients, seconds))
 
@@ -82,14 +82,14 @@
     store_off = costs[False]
     ratio = store_on.cpu_ms_per_request / store_off.cpu_ms_per_request
     print(
-        f"on {store_on.cpu_ms_per_request:.3f} ms a request and {store_on.max_memory_megabytes:.0f} MB,"
+        f"on {store_on.cpu_ms_per_request:.3f} ms per request and {store_on.max_memory_megabytes:.0f} MB,"
         f" off {store_off.cpu_ms_per_request:.3f} ms and {store_off.max_memory_megabytes:.0f} MB: {ratio:.3f}"
     )
     return ratio
 
 
 def main() -> int:
-    """Measure pairs, the order within them in turn."""
+    """Measure pairs, alternating the order within them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--pairs", type=int, default=5)
     parser.add_argument("--clients", type=int, default=400)
@@ -100,7 +100,7 @@
         for number in range(arguments.pairs)
     )
     median = ratios[len(ratios) // 2]
-    print(f"CPU a request, on over off: median {median:.3f}, from {ratios[0]:.3f} to {ratios[-1]:.3f}")
+    print(f"CPU per request, ratio on/off: median {median:.3f}, from {ratios[0]:.3f} to {ratios[-1]:.3f}")
     return 0
 
 
--- a/bench/store_defects.py
+++ b/bench/store_defects.py
@@ -1,4 +1,4 @@
-"""How many seeds the simulation needs for each planted defect: `python -m bench.store_defects`."""
+"""Counts the seeds that the simulation needs to detect each mutation: `python -m bench.store_defects`."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class SearchResult(NamedTuple):
-    """How many seeds were needed, or NOT_FOUND, and the violation that the last one found."""
+    """Number of seeds needed, or NOT_FOUND, and the violation that the last one detected."""
 
     seeds: int
     violation: str
 
 
 def find_mutation(number: int, max_seeds: int, profile: int | None) -> SearchResult:
-    """Plant a defect in this process and run seeds until one finds it, all or those of one kind of plan."""
+    """Inject a mutation into this process and run seeds, of all plans or one, until one detects it."""
     install_mutation(MUTATIONS[number])
     from bench.store_sim import SimulationTask, run_simulation
 
@@ -38,12 +38,12 @@
 
 def _find_in_new_process(number: int, max_seeds: int) -> str:
     args = [sys.executable, "-m", "bench.store_defects", "--one", str(number), "--most", str(max_seeds)]
-    done = subprocess.run(args, capture_output=True, text=True, check=False)
-    return done.stdout.strip() or done.stderr.strip().splitlines()[-1]
+    completed = subprocess.run(args, capture_output=True, text=True, check=False)
+    return completed.stdout.strip() or completed.stderr.strip().splitlines()[-1]
 
 
 def _find_all(max_seeds: int) -> int:
-    """Print a table of all defects; returns how many were not found."""
+    """Print a table of all mutations; return how many were not detected."""
     missed = 0
     with ThreadPoolExecutor(PARALLEL_SEARCHES) as pool:
         outputs = pool.map(lambda number: _find_in_new_process(number, max_seeds), range(len(MUTATIONS)))
@@ -55,11 +55,11 @@
 
 
 def main() -> int:
-    """Search for all defects, in a process each, or for one in this process."""
+    """Test all mutations, each in a separate process, or one in this process."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--most", type=int, default=2000, help="seeds to try for each")
-    parser.add_argument("--one", type=int, help="only the defect of this number, in this process")
-    parser.add_argument("--kind", type=int, help="only seeds of this kind of plan, 0 to 5")
+    parser.add_argument("--most", type=int, default=2000, help="maximum number of seeds per mutation")
+    parser.add_argument("--one", type=int, help="index of the only mutation to test, in this process")
+    parser.add_argument("--kind", type=int, help="only seeds of this fault plan, 0 to 5")
     args = parser.parse_args()
     if args.one is None:
         return 1 if _find_all(args.most) else 0
--- a/bench/store_failover.py
+++ b/bench/store_failover.py
@@ -1,7 +1,7 @@
-"""How long writes stop when the leader is killed: `python -m bench.store_failover --kills 50`.
+"""Measures write outages after the leader is killed: `python -m bench.store_failover --kills 50`.
 
-Measured from the SIGKILL to the acknowledgement of a write that was given to another member at that moment.
-Also: how long a member with 100,000 keys takes to open its data directory.
+The interval is from the SIGKILL to the acknowledgement of a write sent to another member at the same time.
+Also measures how long a member with 100,000 keys takes to open its data directory.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 
 def measure_failover(folder: Path, kills: int) -> None:
-    """Kill the leader some times, and print how long writes stopped."""
+    """Kill the leader repeatedly, and print how long writes were blocked."""
     cluster = MemberCluster.create(folder)
     try:
-        stops_seconds = sorted(_kill_leader(cluster, str(number)) for number in range(kills))
+        outages_seconds = sorted(_kill_leader(cluster, str(number)) for number in range(kills))
     finally:
         cluster.close()
     print(
-        f"{kills} leaders killed: writes stood still for {percentile(stops_seconds, 0.5):.3f} s"
-        f" at the median, p99 {percentile(stops_seconds, 0.99):.3f} s, at the most {stops_seconds[-1]:.3f} s"
+        f"{kills} leaders killed: writes blocked for {percentile(outages_seconds, 0.5):.3f} s"
+        f" at the median, p99 {percentile(outages_seconds, 0.99):.3f} s, maximum {outages_seconds[-1]:.3f} s"
     )
 
 
@@ -54,20 +54,20 @@
         started = time.perf_counter()
         cluster.kill(leader)
         answer = client.call("put", key="kv/x", value=value)
-        stop_seconds = time.perf_counter() - started
+        outage_seconds = time.perf_counter() - started
         assert answer["ok"], answer
     cluster.start(leader)
-    return stop_seconds
+    return outage_seconds
 
 
 def measure_opening(folder: Path, key_count: int) -> None:
-    """Print how long it takes to open a data directory whose snapshot has this many keys."""
+    """Measure and print the time to open a data directory whose snapshot has this many keys."""
     (directory,) = init_cluster(str(folder), [("n0", "127.0.0.1:1")])
     _store_snapshot(directory, _state_with(key_count))
     openings_seconds = sorted(_open_member(directory, key_count) for _ in range(OPENINGS))
     print(
         f"{key_count} records opened in {openings_seconds[OPENINGS // 2]:.3f} s at the median of {OPENINGS},"
-        f" {openings_seconds[-1]:.3f} s at the most"
+        f" maximum {openings_seconds[-1]:.3f} s"
     )
 
 
@@ -102,7 +102,7 @@
 
 
 def main() -> int:
-    """Measure both."""
+    """Measure the opening of a data directory, then failovers."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kills", type=int, default=50)
     parser.add_argument("--records", type=int, default=100_000)
--- a/bench/store_sim.py
+++ b/bench/store_sim.py
@@ -1,4 +1,4 @@
-"""Simulated clusters over many seeds: `python -m bench.store_sim --seeds 10000`."""
+"""Runs simulated clusters with many seeds: `python -m bench.store_sim --seeds 10000`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class SimulationTask:
-    """One run to be made."""
+    """The seed and the fault plan of a run."""
 
     seed: int
     plan: FaultPlan
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class SimulationResult:
-    """What a run has found: the violation, if any, and else how much happened."""
+    """The violation that a run detected or, without one, its activity counts."""
 
     seed: int
     violation: str = ""
@@ -34,7 +34,7 @@
 
 
 def run_simulation(task: SimulationTask) -> SimulationResult:
-    """Run one seed. An exception of the members' own, such as a failed assertion, is a violation as well."""
+    """Run one seed. An exception in a member, such as a failed assertion, is a violation too."""
     simulation = ClusterSimulation(task.seed, task.plan)
     try:
         simulation.run()
@@ -55,7 +55,7 @@
         "writes": simulation.acknowledged_writes,
         "terms": max(checks.leaders_by_term, default=0),
         "refused": len(simulation.network.rejections),
-        "promises": len(checks.durable_drains),
+        "durable drains": len(checks.durable_drains),
     }
 
 
@@ -65,11 +65,11 @@
 
 
 def main() -> int:
-    """Run the seeds that are asked for."""
+    """Run the requested seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--seconds", type=float, default=6.0, help="with faults in each, simulated")
+    parser.add_argument("--seconds", type=float, default=6.0, help="simulated seconds with faults per run")
     parser.add_argument("--jobs", type=int, default=8)
     args = parser.parse_args()
     started = time.monotonic()
@@ -83,7 +83,7 @@
                 violations += 1
                 print(f"seed {result.seed}: {result.violation}", flush=True)
     summary = ", ".join(f"{count} {name}" for name, count in totals.items())
-    print(f"{args.seeds} seeds in {time.monotonic() - started:.0f} s: {summary}; {violations} broken")
+    print(f"{args.seeds} seeds in {time.monotonic() - started:.0f} s: {summary}; {violations} violations")
     return 1 if violations else 0
 
 
--- a/bench/store_speed.py
+++ b/bench/store_speed.py
@@ -1,7 +1,7 @@
-"""Writes a second and their latency on four processes, beside PySyncObj and beside the floor.
+"""Measures write throughput and latency with four processes, compared with PySyncObj and a lower bound.
 
-`python -m bench.store_speed`; PySyncObj must be installed by hand: `pip install pysyncobj==0.3.17`. The floor
-is one append with fdatasync, and a round trip between two processes, at their medians.
+`python -m bench.store_speed`; PySyncObj must be installed by hand: `pip install pysyncobj==0.3.17`. The lower
+bound ("floor") is the median of an append with fdatasync plus the median round trip between two processes.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
 
 
 def percentile(sorted_values: Sequence[float], share: float) -> float:
-    """Return the value below which a share of the values lies."""
+    """Return the value below which the given share of the values lies."""
     return sorted_values[min(int(len(sorted_values) * share), len(sorted_values) - 1)]
 
 
 @dataclass(frozen=True)
 class Measurement:
-    """Writes of one run."""
+    """Throughput and latency of the writes of one run."""
 
     name: str
     writes_per_second: int
@@ -64,7 +64,7 @@
         return measurement
 
     def row(self) -> dict[str, Any]:
-        """Return the row that is printed."""
+        """Return the row to print."""
         return {
             "what": self.name,
             "writes_s": self.writes_per_second,
@@ -74,7 +74,7 @@
 
 
 def measure_floor(folder: Path) -> float:
-    """Return the seconds of an fdatasync and a round trip, each at its median."""
+    """Return the sum of the median fdatasync and the median round trip, in seconds."""
     sync_seconds = percentile(sorted(_time_syncs(folder / "floor")), 0.5)
     trip_seconds = percentile(sorted(_time_round_trips()), 0.5)
     sync_us = sync_seconds * MICROSECONDS_PER_SECOND
@@ -117,17 +117,17 @@
 
 @dataclass
 class PipelinedWriter:
-    """Writes through one member for some time, with a constant number of writes in flight."""
+    """Writes through one member for a given time, with a constant number of writes in flight."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     end: float
-    sent: dict[int, float] = field(default_factory=dict)  # when, by the number of the write
+    sent: dict[int, float] = field(default_factory=dict)  # send times, keyed by write number
     latencies: list[float] = field(default_factory=list)
     last_number: int = 0
 
     async def run(self, in_flight: int) -> None:
-        """Write until the end, and wait for all answers."""
+        """Write until the end time, and wait for all answers."""
         for _ in range(in_flight):
             self._send()
         while self.sent:
@@ -147,7 +147,7 @@
 
 
 async def write_pipelined(directory: str, in_flight: int, seconds: float) -> list[float]:
-    """Write through the member of a data directory; return the seconds that each write took."""
+    """Write through the member of a data directory; return the latency of each write in seconds."""
     with socket_path(directory) as path:
         reader, writer = await asyncio.open_unix_connection(path)
     pipelined = PipelinedWriter(reader, writer, time.perf_counter() + seconds)
@@ -157,7 +157,7 @@
 
 
 def measure_store(folder: Path, seconds: float) -> list[Measurement]:
-    """Measure this store."""
+    """Measure this store at each number of writes in flight."""
     cluster = MemberCluster.create(folder)
     try:
         directory = cluster.directories[cluster.leader()]
@@ -172,7 +172,7 @@
 
 
 def measure_pysyncobj(folder: Path, seconds: float) -> list[Measurement]:
-    """Measure PySyncObj, with its journal."""
+    """Measure PySyncObj with its journal enabled."""
     from bench.pysyncobj_writes import time_writes
 
     measurements = []
@@ -194,13 +194,13 @@
         return
     (folder / "theirs").mkdir()
     pysyncobj = measure_pysyncobj(folder / "theirs", seconds)
-    for ours, theirs in zip(store, pysyncobj, strict=True):
-        ratio = ours.writes_per_second / max(theirs.writes_per_second, 1)
-        print(f"{ours.name}: {ratio:.1f} times PySyncObj's writes")
+    for store_result, pysyncobj_result in zip(store, pysyncobj, strict=True):
+        ratio = store_result.writes_per_second / max(pysyncobj_result.writes_per_second, 1)
+        print(f"{store_result.name}: {ratio:.1f} times PySyncObj's throughput")
 
 
 def main() -> int:
-    """Measure everything, some times in turn."""
+    """Run the whole comparison several times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--turns", type=int, default=3)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -53,7 +53,7 @@
     assert not missing
     own_row = {"limerudder", *(module_name(path) for path in (ROOT / "limerudder").glob("*.py"))}
     unlisted = {module for module in own_row if package_of(module) != module}
-    assert not unlisted, "modules beside the packages have rows of their own"
+    assert not unlisted, "top-level modules need their own rows"
 
 
 def test_the_map_names_existing_packages() -> None:
@@ -65,12 +65,12 @@
 @pytest.mark.parametrize("package", sorted(PACKAGES))
 def test_imports_match_the_map(package: str) -> None:
     allowed = PACKAGES[package] | {package}
-    wrong = []
+    violations = []
     for path in source_files():
         if package_of(module_name(path)) != package:
             continue
         for imported in imported_modules(path):
             target = package_of(imported)
             if target is not None and target not in allowed:
-                wrong.append(f"{path.relative_to(ROOT)} imports {imported}")
-    assert not wrong
+                violations.append(f"{path.relative_to(ROOT)} imports {imported}")
+    assert not violations
--- a/tests/test_store_simulation.py
+++ b/tests/test_store_simulation.py
@@ -42,7 +42,7 @@
     assert totals["writes"] > 20 * SEEDS, totals
     assert totals["terms"] > 5 * SEEDS, totals
     assert totals["refused"] > 0, totals
-    assert totals["promises"] > 5 * SEEDS, totals
+    assert totals["durable drains"] > 5 * SEEDS, totals
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
