--- a/harness/cluster_checks.py
+++ b/harness/cluster_checks.py
@@ -154,7 +154,7 @@
         }
 
     def check_drains_retained(self, member: SimulatedMember) -> None:
-        """Check that a member still records every drain that was durable there."""
+        """Check that a member still has a record of every drain that was durable there."""
         drain_log = member.running_process.drain_log
         for (member_id, host), started_ms in self.durable_drains.items():
             if member_id == member.member_id and not drain_log.effective_record(host).excludes(started_ms):
@@ -164,7 +164,7 @@
                 )
 
     def check_drains_agreed(self, members: Iterable[SimulatedMember], config_ids: set[int]) -> None:
-        """Check that all members record each drain that is durable at a member of the configuration."""
+        """Check that all members have each drain that is durable at a member of the configuration."""
         for member in members:
             drain_log = member.running_process.drain_log
             for (member_id, host), started_ms in self.durable_drains.items():
--- a/harness/fault_injector.py
+++ b/harness/fault_injector.py
@@ -149,7 +149,7 @@
     # the network
 
     def _change_partition(self) -> None:
-        """Block one direction of a link, or both or one between two groups, or unblock all links."""
+        """Block a link in one direction, or one or both directions between groups, or unblock all links."""
         member_ids = list(self._members)
         blocked = self._network.blocked_links
         kind = self._random.randrange(4)
@@ -169,7 +169,7 @@
     # changes that the members agree on
 
     def _change_membership(self) -> None:
-        """Request from a random member to add or remove a member, or to transfer leadership."""
+        """Request a membership change or leadership transfer from a random member or the leader."""
         running = self._checks.running_members()
         if not running:
             return
--- a/harness/mutations.py
+++ b/harness/mutations.py
@@ -1,4 +1,4 @@
-"""Mutation testing: small defects that are injected into the production code when a module is imported.
+"""Mutation testing: small defects that are injected into the source of a module when it is imported.
 
 They show that the simulation's checks detect such defects. The source files stay unchanged: a process that
 runs with a defect calls `install_mutation` before it imports the store.
--- a/harness/simulated_clock.py
+++ b/harness/simulated_clock.py
@@ -10,7 +10,7 @@
 
 
 class SimulatedClock:
-    """Runs scheduled calls in the order of their due times; calls due together run as scheduled."""
+    """Runs scheduled calls in the order of their due times; ties run in scheduling order."""
 
     def __init__(self) -> None:
         self.now_us = 0
