--- a/limerudder/core/lifecycle/__init__.py
+++ b/limerudder/core/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The end of a node's process: graceful shutdown, and hot restart with a successor."""
+"""Process shutdown and replacement: graceful shutdown, and hot restart with a successor."""
--- a/limerudder/core/lifecycle/graceful_shutdown.py
+++ b/limerudder/core/lifecycle/graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""Graceful shutdown: migrate established connections step by step, and end before the earliest SIGKILL.
+"""Graceful shutdown: migrates established connections in steps, and ends before the earliest SIGKILL.
 
-New requests are rejected meanwhile, unless a successor process accepts this node's clients.
+New requests are rejected during the shutdown, unless a successor process accepts this node's clients.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 from limerudder.core.operations.log_events import LogKind, LogSink
 from limerudder.core.timer_wheel import TimerWheel
 
-# The platform guarantees that SIGKILL comes no sooner after the signal to stop than the longest request
-# deadline, of which at most MAX_DEADLINE_US counts, and KILL_MARGIN_US together.
+# The platform guarantees a minimum time between the signal to stop and SIGKILL: the longest request deadline,
+# counted as at most MAX_DEADLINE_US, plus KILL_MARGIN_US.
 MAX_DEADLINE_US = 3_000_000
 KILL_MARGIN_US = 700_000
 
-#: After the signal to stop; until then the platform's front may send clients right back to this node.
+#: Delay after the signal to stop; earlier, the platform's front end may send clients back to this node.
 MIN_MIGRATION_DELAY_US = 450_000
-#: Migrations are spread over this time, as late as possible.
+#: Time over which migrations are spread; the period starts as late as possible.
 MIGRATION_DURATION_US = 1_200_000
 
-# How long before the earliest SIGKILL:
-MIGRATION_END_MARGIN_US = 700_000  #: migrations are over
-FINAL_ANSWER_MARGIN_US = 400_000  #: requests that still wait are answered as failed
-COMPLETION_MARGIN_US = KILL_MARGIN_US // 4  #: the shutdown ends, whatever is left
+# Margins before the earliest SIGKILL:
+MIGRATION_END_MARGIN_US = 700_000  #: Margin after the end of migrations.
+FINAL_ANSWER_MARGIN_US = 400_000  #: Margin after waiting requests are answered as failed.
+COMPLETION_MARGIN_US = KILL_MARGIN_US // 4  #: Margin after the shutdown ends, even with open connections.
 
 MIN_STEP_INTERVAL_US = 20_000
-MAX_STEP_INTERVAL_US = 200_000  #: where a successor waits for the clients
+MAX_STEP_INTERVAL_US = 200_000  #: Upper limit of the step interval if a successor accepts clients.
 
 
 class ShutdownRequest(Protocol):
-    """A request of the node, as far as a shutdown looks at it."""
+    """The properties of a request that a shutdown uses."""
 
     @property
     def is_established(self) -> bool:
-        """Whether an upstream serves its connection."""
+        """Whether an upstream serves the connection."""
 
     @property
     def has_final_answer(self) -> bool:
-        """Whether no answer is owed any more."""
+        """Whether the final answer has been given."""
 
 
 RequestT = TypeVar("RequestT", bound=ShutdownRequest)
 
 
 class ShutdownHooks(NamedTuple, Generic[RequestT]):
-    """What a shutdown reads from its node, and calls on it."""
+    """The node state and callbacks that a shutdown uses."""
 
     has_successor: Callable[[], bool]
     migrate_client: Callable[[RequestT, int], None]
@@ -57,12 +57,12 @@
 
 
 def earliest_kill_time_us(longest_deadline_us: int, now_us: int) -> int:
-    """Return the earliest time of a SIGKILL after a signal to stop that is received now."""
+    """Return the earliest time of SIGKILL if the signal to stop is received now."""
     return now_us + min(longest_deadline_us, MAX_DEADLINE_US) + KILL_MARGIN_US
 
 
 class GracefulShutdown(Generic[RequestT]):
-    """One shutdown of a node, from the signal to stop until its process may end."""
+    """Runs one shutdown of a node, from the signal to stop until its process may end."""
 
     def __init__(
         self,
@@ -80,15 +80,15 @@
         self._migration_end_us = kill_time_us - MIGRATION_END_MARGIN_US
 
     def start(self, now_us: int) -> None:
-        """Begin; the first connections are migrated later, unless a successor accepts clients already."""
+        """Start the shutdown; migrations start later, unless a successor already accepts clients."""
         established_count = len(self._established())
         self._hooks.log(LogKind.STOPPING, f"node: shutting down; migrating {established_count} connections")
         if self._hooks.has_successor():
-            # clients come back to the successor, in steps as small as the time allows
+            # clients reconnect to the successor, so migrations start now to allow small steps
             first_step_us = now_us
         else:
-            # the tier's other nodes may be stopping too: waiting costs established connections nothing, and
-            # a node that was stopped before this one may be back by then
+            # the tier's other nodes may be stopping too: waiting does not affect established connections, and
+            # a node that was stopped before this one may have restarted by then
             latest_us = self._migration_end_us - MIGRATION_DURATION_US
             first_step_us = max(now_us + MIN_MIGRATION_DELAY_US, latest_us)
         self._timers.schedule(first_step_us, self._run_step)
@@ -97,7 +97,7 @@
         established = self._established()
         self._migrate_share(established, now_us)
         if now_us >= self._migration_end_us:
-            # an idle client's line would be read by nobody once the process has ended
+            # a line sent by an idle client would be lost once the process has ended
             self._admission.evict_all(now_us)
         if now_us >= self._kill_time_us - FINAL_ANSWER_MARGIN_US:
             self._fail_waiting_requests(now_us)
@@ -110,14 +110,14 @@
         return [request for request in self._requests.values() if request.is_established]
 
     def _migrate_share(self, established: list[RequestT], now_us: int) -> None:
-        """Migrate the share of the connections with which the steps that are left migrate all."""
+        """Migrate the share of the connections needed to migrate all in the remaining steps."""
         steps_left = max((self._migration_end_us - now_us) // MIN_STEP_INTERVAL_US, 1)
         share = -(-len(established) // steps_left)
         for request in established[:share]:
             self._hooks.migrate_client(request, now_us)
 
     def _fail_waiting_requests(self, now_us: int) -> None:
-        """Answer requests whose deadline is later than the end of this process."""
+        """Answer waiting requests as failed; their deadlines are after the end of this process."""
         waiting = [request for request in self._requests.values() if not request.has_final_answer]
         for request in waiting:
             self._hooks.fail_request(request, now_us)
@@ -125,7 +125,7 @@
     def _is_complete(self, now_us: int) -> bool:
         if now_us >= self._kill_time_us - COMPLETION_MARGIN_US:
             return True
-        # until all clients have closed: sockets that the process closes as it ends lose what their clients
+        # waits until all clients have closed: closing sockets at process exit discards data that clients
         # have not read yet, such as a MOVE
         everything_closed = not self._requests and not self._admission.connections
         return everything_closed and (now_us >= self._migration_end_us or self._hooks.has_successor())
@@ -133,8 +133,8 @@
     def _step_interval_us(self, established_count: int, now_us: int) -> int:
         if not self._hooks.has_successor():
             return MIN_STEP_INTERVAL_US
-        # spread over all the time that is left: if all clients came back to the successor at once, they would
-        # load the upstreams before it sees any load
+        # spread over the remaining time: if all clients reconnected to the successor at once, they would load
+        # the upstreams before it has load measurements
         time_left_us = max(self._migration_end_us - now_us, 0)
         interval_us = time_left_us // max(established_count, 1)
         return max(MIN_STEP_INTERVAL_US, min(interval_us, MAX_STEP_INTERVAL_US))
--- a/limerudder/core/lifecycle/hot_restart/__init__.py
+++ b/limerudder/core/lifecycle/hot_restart/__init__.py
@@ -1,7 +1,7 @@
 """Hot restart: a serving process (the parent) hands its node over to a new process (the successor).
 
-The two are joined by a Unix socket. The parent's first line there is its state; the successor prepares with
-it, says when it accepts clients, and the parent then serves what it has until it receives SIGTERM.
+They communicate over a Unix socket. The parent first sends its state as one line. The successor prepares with
+that state and reports when it accepts clients. The parent then serves its open connections until SIGTERM.
 """
 
 from limerudder.core.lifecycle.hot_restart.errors import HandoverFormatError
--- a/limerudder/core/lifecycle/hot_restart/errors.py
+++ b/limerudder/core/lifecycle/hot_restart/errors.py
@@ -1,5 +1,5 @@
-"""The error of lines that cannot be read."""
+"""The error raised for malformed lines."""
 
 
 class HandoverFormatError(ValueError):
-    """A line of the other process is malformed; it may be of another release."""
+    """A line from the other process is malformed; that process may run another release."""
--- a/limerudder/core/lifecycle/hot_restart/handover_state.py
+++ b/limerudder/core/lifecycle/hot_restart/handover_state.py
@@ -1,6 +1,6 @@
-"""The state that a successor starts with, and the line of JSON in which the parent sends it.
+"""The initial state of a successor, and the line of JSON in which the parent sends it.
 
-The two processes may be of different releases: the keys of the JSON are a stored form.
+The two processes may run different releases: the JSON keys must stay compatible.
 """
 
 from __future__ import annotations
@@ -11,41 +11,41 @@
 from limerudder.core.discovery.endpoint_list import EndpointList, format_endpoint_list, parse_endpoint_list
 from limerudder.core.lifecycle.hot_restart.errors import HandoverFormatError
 
-#: What a value of the wrong form raises while it is read.
+#: Exceptions raised when a malformed value is parsed.
 MALFORMED_VALUE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class ProcessUsage(NamedTuple):
-    """What one process of a node holds of the limits that all its processes share."""
+    """Usage by one process of the resources that all processes of a node share."""
 
-    descriptors: int  #: for clients and attempts
-    connections_by_upstream: dict[str, int]  #: by the upstream's name
+    descriptors: int  #: File descriptors of clients and attempts.
+    connections_by_upstream: dict[str, int]  #: Connection counts keyed by upstream name.
 
 
 class HandoverState(NamedTuple):
-    """What the parent knows when a successor connects."""
+    """The parent's state at the time a successor connects."""
 
     endpoints: EndpointList
-    request_ids: tuple[int, ...]  #: in use, or in use a moment ago
+    request_ids: tuple[int, ...]  #: Ids of open and recently closed requests.
     usage: ProcessUsage
-    return_to_service_times: dict[str, int]  #: by upstream: microseconds since 1970
-    config_reloaded: bool  #: discovery is asked where the configuration file says, not the environment
-    drained_starts: dict[str, int]  #: by upstream: the last start known to drain, in ms since 1970
+    return_to_service_times: dict[str, int]  #: Microseconds since 1970, keyed by upstream name.
+    config_reloaded: bool  #: Discovery's address is the configuration file's, not the environment's.
+    drained_starts: dict[str, int]  #: Latest drained start, ms since 1970, keyed by upstream name.
 
 
 def usage_to_json(usage: ProcessUsage) -> dict[str, Any]:
-    """Return the usage as the JSON object that the lines carry."""
+    """Return the usage as a JSON object, as sent in messages."""
     return {"descriptors": usage.descriptors, "at": usage.connections_by_upstream}
 
 
 def usage_from_json(given: Any) -> ProcessUsage:
-    """Read the usage from its JSON object; raises one of MALFORMED_VALUE_ERRORS."""
+    """Parse the usage from its JSON object; raises one of MALFORMED_VALUE_ERRORS."""
     descriptors = int(given["descriptors"])
     return ProcessUsage(descriptors, _integers_by_name(given["at"]))
 
 
 def format_handover_state(state: HandoverState) -> bytes:
-    """Return the state as one line of JSON with its line end."""
+    """Return the state as one line of JSON, including the newline."""
     given = {
         "hosts": format_endpoint_list(state.endpoints),
         "ids": [f"{request_id:016x}" for request_id in state.request_ids],
@@ -58,7 +58,7 @@
 
 
 def parse_handover_state(line: bytes) -> HandoverState:
-    """Read the state from its line; raises HandoverFormatError."""
+    """Parse the state line; raises HandoverFormatError."""
     try:
         given = json.loads(line)
         request_ids = tuple(int(request_id, 16) for request_id in given["ids"])
--- a/limerudder/core/lifecycle/hot_restart/messages.py
+++ b/limerudder/core/lifecycle/hot_restart/messages.py
@@ -1,7 +1,7 @@
 """The messages between parent and successor after the state line, and the lines that carry them.
 
-A line is a word, and for some words a space and a value. The two processes may be of different releases:
-words and values are a stored form, and a word that is not known is ignored.
+A line is a word, followed by a space and a value for some words. The two processes may run different
+releases: words and values must stay compatible, and unrecognised words are ignored.
 """
 
 from __future__ import annotations
@@ -35,30 +35,30 @@
 
 
 class RequestAccepted(NamedTuple):
-    """The parent has accepted a request: its id is in use."""
+    """The parent has accepted a request; its id is in use."""
 
     request_id: int
 
 
 class UsageChanged(NamedTuple):
-    """What the parent holds has changed."""
+    """The parent's resource usage has changed."""
 
     usage: ProcessUsage
 
 
 class EndpointDrained(NamedTuple):
-    """The parent has learned that an upstream drains."""
+    """The parent has received a report that an upstream is draining."""
 
     name: str
-    started_ms: int  #: the start of the upstream that drains, in ms since 1970
+    started_ms: int  #: Start time of the draining upstream, in ms since 1970.
 
 
 class ParentStopping:
-    """The parent stops: the successor is to accept clients at once."""
+    """The parent is stopping; the successor must accept clients at once."""
 
 
 class SuccessorServing:
-    """The successor accepts clients: the parent is to accept no more."""
+    """The successor accepts clients; the parent must stop accepting."""
 
 
 ParentMessage = RequestAccepted | UsageChanged | EndpointDrained | ParentStopping
@@ -66,7 +66,7 @@
 
 
 def format_message(message: Message) -> str:
-    """Return the message's line, without its line end."""
+    """Return the message's line without its newline."""
     match message:
         case RequestAccepted(request_id):
             return f"{ParentWord.REQUEST_ACCEPTED} {request_id:016x}"
@@ -81,7 +81,7 @@
 
 
 def parse_parent_message(line: str) -> ParentMessage | None:
-    """Read a line from the parent; None if its word is not known. Raises HandoverFormatError."""
+    """Parse a line from the parent; None if its word is not recognised. Raises HandoverFormatError."""
     word, _, value = line.partition(" ")
     try:
         match word:
@@ -100,6 +100,6 @@
 
 
 def parse_successor_message(line: str) -> SuccessorServing | None:
-    """Read a line from the successor; None if its word is not known."""
+    """Parse a line from the successor; None if its word is not recognised."""
     word, _, _ = line.partition(" ")
     return SuccessorServing() if word == SuccessorWord.SERVING else None
--- a/limerudder/core/lifecycle/hot_restart/node_binding.py
+++ b/limerudder/core/lifecycle/hot_restart/node_binding.py
@@ -1,4 +1,4 @@
-"""Joins the two sides of a hot restart to a node."""
+"""Connects the two sides of a hot restart to a node."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from limerudder.core.node import Node
 
 
-#: For so long after a successor begins to serve, its parent may not know it yet and sends as before.
+#: Time after a successor starts to serve in which its parent may still send, not having been notified.
 HANDOVER_OVERLAP_US = 500_000
 
 
 def current_handover_state(node: Node) -> HandoverState:
-    """Return what a successor of this node's process is to start with."""
+    """Return the initial state for a successor of this process."""
     return HandoverState(
         endpoints=node.endpoint_list(),
         request_ids=tuple(node.recent_request_ids()),
@@ -34,14 +34,14 @@
 def create_parent(
     node: Node, stop_accepting: Callable[[], None], resume_accepting: Callable[[], None]
 ) -> HotRestartParent:
-    """Return the parent's side for a node; the callbacks close and open its listeners."""
+    """Create the parent's side for a node; the callbacks close and reopen its listeners."""
 
     def hand_over() -> None:
         node.has_successor = True
         node.leave_turns()
         stop_accepting()
 
-    def take_back() -> None:
+    def resume_serving() -> None:
         node.has_successor = False
         node.take_turns()
         resume_accepting()
@@ -51,7 +51,7 @@
         resource_usage=node.resource_usage,
         is_stopping=lambda: node.shutdown_deadline_us != 0,
         stop_accepting=hand_over,
-        resume_accepting=take_back,
+        resume_accepting=resume_serving,
         log=node.log,
     )
     parent = HotRestartParent(hooks, node.timer_wheel)
@@ -66,7 +66,7 @@
     start_serving: Callable[[], None],
     parent_ended: Callable[[], None],
 ) -> HotRestartSuccessor:
-    """Return the successor's side for a node that was built with the parent's list of endpoints."""
+    """Create the successor's side for a node that was built with the parent's endpoint list."""
 
     def serve() -> None:
         node.take_turns(HANDOVER_OVERLAP_US)
@@ -86,7 +86,7 @@
 
 
 def _record_drain(node: Node, name: str, started_ms: int, now_us: int) -> None:
-    """Record a drain of which the parent has learned, unless this process reads the store itself by now."""
+    """Record a drain reported by the parent, unless this process already reads the store itself."""
     if isinstance(node.drain_memory, InheritedDrains):
         node.drain_memory.record_drain(name, started_ms)
         node.refresh_endpoint(name, now_us)
--- a/limerudder/core/lifecycle/hot_restart/parent.py
+++ b/limerudder/core/lifecycle/hot_restart/parent.py
@@ -24,44 +24,44 @@
 from limerudder.core.timer_wheel import TimerWheel
 from limerudder.core.transport import Transport
 
-USAGE_INTERVAL_US = 100_000  #: between messages on what this process holds
+USAGE_INTERVAL_US = 100_000  #: Minimum interval between usage messages.
 
 
 class ParentPhase(Enum):
-    """Who accepts the node's clients."""
+    """Which process accepts the node's clients."""
 
-    SERVING = auto()  #: this process
-    HANDED_OVER = auto()  #: a successor
+    SERVING = auto()  #: This process accepts them.
+    HANDED_OVER = auto()  #: A successor accepts them.
 
 
 class ParentHooks(NamedTuple):
-    """What the parent's side reads from its node, and calls on it."""
+    """The node state and callbacks that the parent's side uses."""
 
     handover_state: Callable[[], HandoverState]
     resource_usage: Callable[[], ProcessUsage]
     is_stopping: Callable[[], bool]
-    stop_accepting: Callable[[], None]  #: a successor accepts the clients from now on
-    resume_accepting: Callable[[], None]  #: the successor has ended
+    stop_accepting: Callable[[], None]  #: Called when a successor starts to accept clients.
+    resume_accepting: Callable[[], None]  #: Called when the successor has ended.
     log: LogSink
 
 
 class HotRestartParent:
-    """Hands the node over to the first successor that serves, and takes it back if that one ends."""
+    """Hands the node over to the first successor that serves; resumes serving if that successor ends."""
 
     def __init__(self, hooks: ParentHooks, timers: TimerWheel) -> None:
         self.phase = ParentPhase.SERVING
-        self.connections: list[SuccessorConnection] = []  # of all processes that have asked to take over
+        self.connections: list[SuccessorConnection] = []  # one per process that has requested a handover
         self._hooks = hooks
         self._timers = timers
         self._successor: SuccessorConnection | None = None
         self._sent_usage = ProcessUsage(0, {})
 
     def state_line(self) -> bytes:
-        """Return the line that a process gets as soon as it has connected."""
+        """Return the state line, which is sent to a process as soon as it has connected."""
         return format_handover_state(self._hooks.handover_state())
 
     def announce(self, message: ParentMessage) -> None:
-        """Send a message to all that have asked to take over."""
+        """Send a message to all processes that have requested a handover."""
         for connection in self.connections:
             connection.send(message)
 
@@ -71,14 +71,14 @@
             self.announce(RequestAccepted(request_id))
 
     def successor_connected(self, connection: SuccessorConnection) -> None:
-        """Record a process that asks to take over; it has been sent the state line."""
+        """Record a process that requests a handover; the state line has already been sent to it."""
         self.connections.append(connection)
         self._hooks.log(LogKind.HANDOVER, "node: another process has asked to take over")
         if self._hooks.is_stopping():
             connection.send(ParentStopping())
 
     def successor_serving(self, connection: SuccessorConnection, now_us: int) -> None:
-        """Stop accepting clients: the successor accepts them. This process serves all that it has."""
+        """Stop accepting clients, as the successor accepts them; open connections are still served here."""
         if self.phase is ParentPhase.HANDED_OVER:
             return
         self.phase = ParentPhase.HANDED_OVER
@@ -88,9 +88,9 @@
         self._send_usage(now_us)
 
     def successor_lost(self, connection: SuccessorConnection) -> None:
-        """Forget a process that has ended; accept clients again if it had taken over.
+        """Remove a process that has ended; accept clients again if it was serving.
 
-        A node that is stopping then goes on as one without a successor.
+        A node that is stopping then continues as one without a successor.
         """
         if connection in self.connections:
             self.connections.remove(connection)
@@ -104,7 +104,7 @@
         self._hooks.resume_accepting()
 
     def _send_usage(self, now_us: int) -> None:
-        """Tell the successor what this process holds, now and at intervals, if it has changed."""
+        """Send the successor this process's usage if it has changed, now and at intervals."""
         if self._successor is None:
             return
         self._timers.schedule(now_us + USAGE_INTERVAL_US, self._send_usage)
@@ -115,23 +115,23 @@
 
 
 class SuccessorConnection(LineConnection):
-    """The connection of a process that asks to take over, as the parent drives it."""
+    """The parent's end of the connection to a process that requests a handover."""
 
     def __init__(self, parent: HotRestartParent) -> None:
         super().__init__()
         self._parent = parent
 
     def connection_made(self, transport: Transport, now_us: int) -> None:
-        """Announce the process to the parent's side; the state line has been sent."""
+        """Register the process with the parent's side; the state line has already been sent."""
         super().connection_made(transport, now_us)
         self._parent.successor_connected(self)
 
     def line_received(self, line: str, now_us: int) -> None:
-        """Pass on that the successor serves."""
+        """Report to the parent's side that the successor serves."""
         if isinstance(parse_successor_message(line), SuccessorServing):
             self._parent.successor_serving(self, now_us)
 
     def connection_lost(self, now_us: int) -> None:
-        """Pass on that the process has ended, or closed the connection."""
+        """Report to the parent's side that the process has ended or closed the connection."""
         super().connection_lost(now_us)
         self._parent.successor_lost(self)
--- a/limerudder/core/lifecycle/hot_restart/successor.py
+++ b/limerudder/core/lifecycle/hot_restart/successor.py
@@ -21,31 +21,31 @@
 from limerudder.core.timer_wheel import TimerWheel
 
 READINESS_CHECK_INTERVAL_US = 50_000
-#: How long discovery's first list and the first health checks are waited for; then the parent's list will do.
+#: Maximum wait for discovery's first list and the first health checks; then the parent's list is used.
 MAX_PREPARATION_US = 2_000_000
 
 
 class SuccessorPhase(Enum):
-    """Whether the successor has been asked to serve."""
+    """Whether the successor has been requested to serve."""
 
-    PREPARING = auto()  #: it asks discovery and checks the upstreams, while the parent accepts the clients
-    SERVING = auto()  #: it has been asked to accept clients, which happens once
+    PREPARING = auto()  #: Polls discovery and checks upstreams, while the parent accepts clients.
+    SERVING = auto()  #: Has been requested to accept clients; this happens once.
 
 
 class SuccessorHooks(NamedTuple):
-    """What the successor's side reads from its node, and calls on it."""
+    """The node state and callbacks that the successor's side uses."""
 
-    is_ready_to_serve: Callable[[], bool]  #: discovery has answered, and no first health check is pending
+    is_ready_to_serve: Callable[[], bool]  #: Discovery has answered, and no first health check is pending.
     set_parent_usage: Callable[[ProcessUsage, int], None]
     apply_return_to_service_times: Callable[[dict[str, int], int], None]
-    record_request: Callable[[int], None]  #: a request of this id is at the parent
-    record_drain: Callable[[str, int, int], None]  #: the upstream's name, its start in ms, and the time now
+    record_request: Callable[[int], None]  #: Records the id of a request that the parent has accepted.
+    record_drain: Callable[[str, int, int], None]  #: Arguments: upstream name, its start in ms, time.
     start_serving: Callable[[], None]
     parent_ended: Callable[[], None]
 
 
 class HotRestartSuccessor(LineConnection):
-    """Takes the node over: prepares with the parent's state, then calls `start_serving` once."""
+    """Prepares to serve using the parent's state, then calls `start_serving` once."""
 
     def __init__(self, hooks: SuccessorHooks, timers: TimerWheel, state: HandoverState, now_us: int) -> None:
         super().__init__()
@@ -60,20 +60,20 @@
         timers.schedule(now_us + READINESS_CHECK_INTERVAL_US, self._check_readiness)
 
     def announce_serving(self) -> None:
-        """Tell the parent that this process accepts clients."""
+        """Notify the parent that this process accepts clients."""
         self.send(SuccessorServing())
 
     def line_received(self, line: str, now_us: int) -> None:
-        """Handle a line from the parent; one that cannot be read is ignored."""
+        """Handle a line from the parent; malformed lines are ignored."""
         try:
             message = parse_parent_message(line)
-        except HandoverFormatError:  # the parent may be of another release
+        except HandoverFormatError:  # the parent may run another release
             return
         if message is not None:
             self._handle(message, now_us)
 
     def connection_lost(self, now_us: int) -> None:
-        """Serve alone: the parent has ended, and what it held is free."""
+        """Serve alone: the parent has ended, and its resources are free."""
         super().connection_lost(now_us)
         self._hooks.set_parent_usage(ProcessUsage(0, {}), now_us)
         self._start_serving()
@@ -91,7 +91,7 @@
                 self._start_serving()
 
     def _check_readiness(self, now_us: int) -> None:
-        # a process that knows too little would serve clients badly; the parent serves them meanwhile
+        # without these results, clients would be served badly; until then the parent serves them
         if self.phase is SuccessorPhase.SERVING:
             return
         self._timers.schedule(now_us + READINESS_CHECK_INTERVAL_US, self._check_readiness)
--- a/limerudder/core/lifecycle/resource_sharing.py
+++ b/limerudder/core/lifecycle/resource_sharing.py
@@ -1,4 +1,4 @@
-"""File descriptors and connections that the two processes of a hot restart share."""
+"""Accounting of file descriptors and connections across the two processes of a hot restart."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ResourceSharing:
-    """Reports what this process uses, and accounts here for what the other process uses."""
+    """Reports the usage of this process, and accounts for the usage of the other process."""
 
     def __init__(
         self,
@@ -26,10 +26,10 @@
         self._upstreams = upstreams
         self._admission = admission
         self._dispatch = services.dispatch
-        self._other_process_upstreams: set[str] = set()  # where the other process has connections
+        self._other_process_upstreams: set[str] = set()  # upstreams connected to the other process
 
     def usage(self) -> ProcessUsage:
-        """Return the descriptors for clients of this process, and its connections by upstream."""
+        """Return this process's client descriptors and its connections per upstream."""
         connections = Counter(
             connection.upstream.name
             for connection in self._requests.values()
@@ -38,7 +38,7 @@
         return ProcessUsage(self._admission.descriptors_in_use(), dict(connections))
 
     def set_other_process_usage(self, usage: ProcessUsage, now_us: int) -> None:
-        """Leave the other process its descriptors; the policy counts its connections as this node's."""
+        """Reserve the other process's descriptors and report its connections to the policy."""
         self._admission.set_other_process_descriptors(usage.descriptors)
         for name in self._other_process_upstreams | usage.connections_by_upstream.keys():
             upstream = self._upstreams.by_name.get(name)
