--- a/limerudder/core/operations/console.py
+++ b/limerudder/core/operations/console.py
@@ -1,4 +1,4 @@
-"""The operators' console: calls of one line, each on a connection of its own, and their answers."""
+"""The operators' console: single-line calls, one per connection, and their answers."""
 
 from __future__ import annotations
 
@@ -11,57 +11,57 @@
 from limerudder.core.transport import Transport
 
 MAX_CALL_BYTES = 1024
-MAX_SESSIONS = 16  #: at a time; their descriptors are among those kept in reserve
-CALL_TIMEOUT_US = 5_000_000  #: for a call to be complete, and for a deferred answer
-LINGER_US = 1_000_000  #: for a caller to read its answer and to close first
+MAX_SESSIONS = 16  #: Limit of concurrent sessions; they use reserved descriptors.
+CALL_TIMEOUT_US = 5_000_000  #: Time limit for receiving a call and for a deferred answer.
+LINGER_US = 1_000_000  #: Time for the caller to read the answer and close first.
 DEFERRED_TIMEOUT_ANSWER = "error that is not written down yet; it holds here, and is tried on\n"
 
 
 class ConsoleError(Exception):
-    """A call that cannot be carried out; its text is the answer."""
+    """A call cannot be carried out; the exception text is the answer."""
 
 
 class DeferredAnswer:
-    """An answer that is given once something has been done."""
+    """An answer that is sent once an operation has completed."""
 
     def __init__(self) -> None:
         self.text: str | None = None
         self._on_resolved: Callable[[str, int], None] | None = None
 
     def resolve(self, text: str, now_us: int) -> None:
-        """Give the answer; only the first one counts."""
+        """Set the answer; calls after the first have no effect."""
         if self.text is None:
             self.text = text
             if self._on_resolved:
                 self._on_resolved(text, now_us)
 
-    def notify(self, callback: Callable[[str, int], None]) -> None:
-        """Have the answer passed to `callback` once it is given."""
+    def set_callback(self, callback: Callable[[str, int], None]) -> None:
+        """Set the function to call with the answer once it is resolved."""
         self._on_resolved = callback
 
 
-#: Carries out a call, given its argument ("" if it has none) and the time; may raise ConsoleError.
+#: Carries out a call, given its argument (empty if none) and the time; may raise ConsoleError.
 CallHandler = Callable[[str, int], str | DeferredAnswer]
 
 
 class RegisteredCall(NamedTuple):
-    """A call of the console."""
+    """A console call and its handler."""
 
     handler: CallHandler
     takes_argument: bool
 
 
 class Console:
-    """The calls by name, and the sessions of their callers."""
+    """Dispatches calls by name and tracks the sessions of callers."""
 
     def __init__(self, timer_wheel: TimerWheel, counters: Counters) -> None:
         self.timer_wheel = timer_wheel
-        self.sessions: dict[ConsoleSession, None] = {}  # in the order they came
+        self.sessions: dict[ConsoleSession, None] = {}  # sorted by time of connection
         self._counters = counters
         self._calls: dict[str, RegisteredCall] = {}
 
     def register(self, name: str, handler: CallHandler, takes_argument: bool = False) -> None:
-        """Have calls of this name carried out by `handler`."""
+        """Register the handler for calls of this name."""
         self._calls[name] = RegisteredCall(handler, takes_argument)
 
     def answer(self, line: bytes, now_us: int) -> str | DeferredAnswer:
@@ -87,39 +87,39 @@
     def admit(self, session: ConsoleSession) -> None:
         """Track a new session; the oldest is closed if there are too many.
 
-        Connections that never send anything can so take neither the descriptors nor other callers' place.
+        Connections that send nothing can thus neither exhaust descriptors nor block other callers.
         """
         while len(self.sessions) >= MAX_SESSIONS:
             next(iter(self.sessions)).close()
         self.sessions[session] = None
 
     def remove(self, session: ConsoleSession) -> None:
-        """The session is closed."""
+        """Remove a closed session."""
         self.sessions.pop(session, None)
 
 
 class ConsoleSession:
     """The state machine of one caller's connection.
 
-    The call ends with LF or CRLF, or with the end of the caller's sending.
+    The call ends with LF or CRLF, or when the caller closes its sending side.
     """
 
     def __init__(self, console: Console) -> None:
         self.transport: Transport | None = None
         self._console = console
         self._received = b""
-        self._answered = False  # no further call is read
-        self._deferred: DeferredAnswer | None = None  # the answer that is still to come
+        self._answered = False  # further input is ignored
+        self._deferred: DeferredAnswer | None = None  # pending answer, if any
         self._timer = ResettableTimer(console.timer_wheel)
 
     def connection_made(self, transport: Transport, now_us: int) -> None:
-        """An operator has connected."""
+        """Admit the session and start its time-out."""
         self.transport = transport
         self._console.admit(self)
         self._timer.set(now_us + CALL_TIMEOUT_US, lambda _: self.close())
 
     def data_received(self, data: bytes, now_us: int) -> None:
-        """Part of the call; what follows its line is ignored."""
+        """Append to the call; input after its line is ignored."""
         if self._answered:
             return
         self._received += data[: MAX_CALL_BYTES + 1]
@@ -130,20 +130,20 @@
             self._answer(self._console.answer(line, now_us), now_us)
 
     def eof_received(self, now_us: int) -> None:
-        """The caller has ended its sending: what it has sent is its call."""
+        """Treat the received data as the call: the caller has closed its sending side."""
         if self._deferred:
-            return  # `echo CALL | nc` ends its sending at once, and still waits for the answer
+            return  # `echo CALL | nc` closes its sending side at once, but still waits for the answer
         if self._received and not self._answered:
             self._answer(self._console.answer(self._received, now_us), now_us)
         else:
             self.close()
 
     def connection_lost(self, now_us: int) -> None:
-        """The connection broke."""
+        """Close the session."""
         self.close()
 
     def set_writing_paused(self, paused: bool) -> None:
-        """Answers are short: the transport buffers them."""
+        """Ignored: answers are short, and the transport buffers them."""
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -163,7 +163,7 @@
             self._send(answer.text, now_us)
         else:
             self._deferred = answer
-            answer.notify(self._send)
+            answer.set_callback(self._send)
             self._timer.set(now_us + CALL_TIMEOUT_US, partial(answer.resolve, DEFERRED_TIMEOUT_ANSWER))
 
     def _send(self, text: str, now_us: int) -> None:
--- a/limerudder/core/operations/counters.py
+++ b/limerudder/core/operations/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what a node receives, sends and answers, from the start of its process."""
+"""Event counters of a node since the start of its process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CounterName(StrEnum):
-    """All counters, by the names under which operators see them."""
+    """All counters; the values are the names shown to operators."""
 
     PINGS = "pings"
     REQUESTS = "requests"
@@ -69,21 +69,21 @@
     DIALS_FAILED_LOCALLY = "dials_failed_locally"
 
 
-#: How attempts ended.
+#: Counters of attempts by outcome.
 ATTEMPT_COUNTERS = {outcome: CounterName(f"attempts_{outcome.name.lower()}") for outcome in AttemptOutcome}
-#: How health checks ended.
+#: Counters of health checks by outcome.
 HEALTH_CHECK_COUNTERS = {
     outcome: CounterName(f"health_checks_{outcome.name.lower()}") for outcome in AttemptOutcome
 }
 
 
 class Counters(Counter[CounterName]):
-    """Numbers by counter; a counter is printed once something has been counted."""
+    """Values by counter; counters that were never incremented are not printed."""
 
     def increment(self, name: CounterName, amount: int = 1) -> None:
-        """Add to one counter."""
+        """Increment a counter."""
         self[name] += amount
 
     def text(self) -> str:
-        """All counters on one line, in alphabetical order."""
+        """Return all counters on one line in alphabetical order."""
         return " ".join(f"{name}={self[name]}" for name in sorted(self))
--- a/limerudder/core/operations/gauges.py
+++ b/limerudder/core/operations/gauges.py
@@ -1,4 +1,4 @@
-"""The node's gauges: how things stand at the moment they are read."""
+"""The node's gauges, computed when read."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 ) -> dict[str, int]:
     """Return the gauges by name.
 
-    A request whose client has gone, and whose attempt is only being closed, does not count as open.
+    A request whose client has disconnected and whose attempt is being closed does not count as open.
     """
     listed = [upstream for upstream in upstreams.by_number.values() if upstream.is_listed]
     out_of_rotation = [
--- a/limerudder/core/operations/log_events.py
+++ b/limerudder/core/operations/log_events.py
@@ -1,4 +1,4 @@
-"""The kinds of log events: the stable name and the level of each, whatever its text says."""
+"""Kinds of log events: the stable name and level of each, independent of its text."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class LogLevel(StrEnum):
-    """How serious an event is; the values are the method names of Python's loggers."""
+    """Severity of an event; the values are the method names of Python's loggers."""
 
     INFO = "info"
     WARNING = "warning"
@@ -15,7 +15,7 @@
 
 
 class LogKind(Enum):
-    """What an event is about: its stable name, which log processors may rely on, and its level."""
+    """The kind of an event: a stable name for log processors, and a level."""
 
     LISTENING = ("node.listening", LogLevel.INFO)
     STATE_DIRECTORY = ("node.state_directory", LogLevel.WARNING)
@@ -52,7 +52,7 @@
 
 
 class LogSink(Protocol):
-    """Takes log events. Events of one kind are rate-limited together, unless their `detail` differs."""
+    """Accepts log events. Events share a rate limit if their kind and `detail` are equal."""
 
     def __call__(self, kind: LogKind, text: str, /, detail: str = "") -> None:
         """Log one event; `detail` is not printed."""
--- a/limerudder/core/operations/maintenance.py
+++ b/limerudder/core/operations/maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance: hosts that operators have taken out of service, whatever discovery lists.
+"""Maintenance: hosts that operators have removed from service, regardless of discovery's list.
 
-Each has a mark that outlives the process. Every process of a node reads the marks regularly, so that all of
-them follow a console call to any of them.
+Each has a mark that outlives the process. Every process of a node reads the marks regularly, so that a
+console call to one of them affects all.
 """
 
 from __future__ import annotations
@@ -10,56 +10,56 @@
 
 from limerudder.core.timer_wheel import TimerWheel
 
-MARKS_CHECK_INTERVAL_US = 100_000  #: all processes follow a call well within the grace period for drains
+MARKS_CHECK_INTERVAL_US = 100_000  #: Short enough to apply a call well within the drain grace period.
 
 
 class MaintenanceMarks(Protocol):
-    """Host names, kept where they outlive the process. Every method may raise OSError."""
+    """Host names in storage that outlives the process. Every method may raise OSError."""
 
     def read(self) -> set[str]:
-        """All marked hosts."""
+        """Return all marked hosts."""
 
     def add(self, name: str) -> None:
-        """Mark a host, which may be marked already."""
+        """Mark a host; no effect if it is already marked."""
 
     def remove(self, name: str) -> None:
-        """Remove the mark of a host, which may have none."""
+        """Remove the mark of a host; no effect if it has none."""
 
 
 class InMemoryMarks:
-    """Marks of a process without a state directory: they end with it."""
+    """Marks for a process without a state directory; they are lost when it ends."""
 
     def __init__(self) -> None:
         self._names: set[str] = set()
 
     def read(self) -> set[str]:
-        """All marked hosts."""
+        """Return all marked hosts."""
         return set(self._names)
 
     def add(self, name: str) -> None:
-        """Mark a host, which may be marked already."""
+        """Mark a host; no effect if it is already marked."""
         self._names.add(name)
 
     def remove(self, name: str) -> None:
-        """Remove the mark of a host, which may have none."""
+        """Remove the mark of a host; no effect if it has none."""
         self._names.discard(name)
 
 
 class MaintenanceTarget(Protocol):
-    """Keeps traffic away from hosts in maintenance: the node."""
+    """Keeps traffic away from hosts in maintenance; `MaintenanceEffects` implements it."""
 
     def is_listed(self, name: str) -> bool:
-        """Whether discovery lists this host."""
+        """Return whether discovery lists this host."""
 
     def maintenance_started(self, name: str, now_us: int) -> None:
-        """The host is in maintenance from now on."""
+        """The host has entered maintenance."""
 
     def maintenance_ended(self, name: str, now_us: int) -> None:
-        """The host is in maintenance no more."""
+        """The host has left maintenance."""
 
 
 class Maintenance:
-    """Which hosts are in maintenance."""
+    """Tracks which hosts are in maintenance."""
 
     def __init__(self, marks: MaintenanceMarks, target: MaintenanceTarget, timer_wheel: TimerWheel) -> None:
         self.marks = marks
@@ -68,17 +68,17 @@
         self._timer_wheel = timer_wheel
 
     def start(self, now_us: int) -> None:
-        """Follow the marks from now on."""
-        self._timer_wheel.schedule(now_us + MARKS_CHECK_INTERVAL_US, self._follow_marks)
+        """Start reading the marks periodically."""
+        self._timer_wheel.schedule(now_us + MARKS_CHECK_INTERVAL_US, self._poll_marks)
 
     def enable(self, name: str, now_us: int) -> bool:
         """Put a host into maintenance; False if it is neither listed nor in maintenance.
 
         Raises OSError, and changes nothing, if the mark cannot be written.
         """
-        if not self._is_known(name):
+        if not self._is_listed_or_in_maintenance(name):
             return False
-        # Written before the change takes effect, and anew where it did already: the mark may have been lost.
+        # Written before the change takes effect, and rewritten on each call: the mark may have been lost.
         self.marks.add(name)
         self._apply(self.hosts | {name}, now_us)
         return True
@@ -88,23 +88,23 @@
 
         Raises OSError, and changes nothing, if the mark cannot be removed.
         """
-        if not self._is_known(name):
+        if not self._is_listed_or_in_maintenance(name):
             return False
         self.marks.remove(name)
         self._apply(self.hosts - {name}, now_us)
         return True
 
-    def _is_known(self, name: str) -> bool:
+    def _is_listed_or_in_maintenance(self, name: str) -> bool:
         return name in self.hosts or self._target.is_listed(name)
 
-    def _follow_marks(self, now_us: int) -> None:
-        self._timer_wheel.schedule(now_us + MARKS_CHECK_INTERVAL_US, self._follow_marks)
+    def _poll_marks(self, now_us: int) -> None:
+        self._timer_wheel.schedule(now_us + MARKS_CHECK_INTERVAL_US, self._poll_marks)
         names = self._read_marks()
         if names is not None:
             self._apply(names, now_us)
 
     def _read_marks(self) -> set[str] | None:
-        """The marked hosts; None if they cannot be read at the moment, which must not end any maintenance."""
+        """Return the marked hosts, or None if reading fails; a failure must not end any maintenance."""
         try:
             return self.marks.read()
         except OSError:
--- a/limerudder/core/operations/metrics.py
+++ b/limerudder/core/operations/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in statsd's line format: counts since the process started, and gauges of the moment."""
+"""Metrics in statsd's line format: counters since the process started, and current gauges."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request was answered, by the name of its metric."""
+    """How a request was answered; the values are metric names."""
 
-    FULFILLED = "fulfilled"  # an upstream took the connection
+    FULFILLED = "fulfilled"  # an upstream accepted the connection
     THROTTLED = "throttled"  # rejected
     FAULTED = "faulted"  # failed
 
 
 class RequestMetrics:
-    """Counts each request once, when it is answered; every metric is printed from the start, zeros too."""
+    """Counts each request once, when it is answered; all metrics are printed, including zeros."""
 
     def __init__(self, class_names: Sequence[str]) -> None:
         self._class_names = class_names
-        self._answered: Counter[tuple[RequestOutcome, int]] = Counter()  # by outcome and class number
+        self._answered: Counter[tuple[RequestOutcome, int]] = Counter()  # counts per outcome and class number
         self._relayed = 0  # attempts whose request was written completely to the upstream
 
     def record(self, outcome: RequestOutcome, class_number: int) -> None:
@@ -32,7 +32,7 @@
         self._relayed += 1
 
     def text(self, gauges: Mapping[str, int]) -> str:
-        """All metrics, a line each, counts before gauges."""
+        """Return all metrics, one per line, counters before gauges."""
         counts = {
             f"{outcome}.{name}": self._answered[outcome, number]
             for outcome in RequestOutcome
--- a/limerudder/core/operations/rule_monitor.py
+++ b/limerudder/core/operations/rule_monitor.py
@@ -1,6 +1,6 @@
-"""Counts, while the node runs, every time that one of its rules does not hold.
+"""Counts violations of the node's rules at run time.
 
-The guards are to make that impossible; what is counted here is a defect of the node, whatever caused it.
+The guards are meant to prevent them; each violation is a defect of the node, regardless of its cause.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Rule(StrEnum):
-    """The rules that are checked in service."""
+    """The rules that are checked in production; the values are the log texts of their violations."""
 
     SEND_CONFIRMED = "a request was written without the guard's consent"
     SEND_IN_TURN = "a request was written to a host in slow start after its turn"
@@ -26,7 +26,7 @@
 
 
 class RuleMonitor:
-    """Takes violations of rules; each is counted and logged."""
+    """Counts and logs violations of rules."""
 
     def __init__(self, counters: Counters, log: LogSink) -> None:
         self._counters = counters
--- a/limerudder/core/operations/traffic_log.py
+++ b/limerudder/core/operations/traffic_log.py
@@ -1,7 +1,7 @@
-"""Log lines that let one request, or one host's slow start, be followed through the logs of all nodes.
+"""Log lines for tracing a request, or a host's slow start, through the logs of all nodes.
 
-Requests are named by the id that their client chose, which is the same at every node. Lines about one host
-share a rate limit, so that a host in trouble does not silence the others.
+Requests are identified by the id that their client chose, which is the same at every node. Lines about one
+host share a rate limit, so that a failing host does not suppress lines about others.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 MICROSECONDS_PER_MILLISECOND = 1000
 
-MAX_HOST_LINES = 10  #: for one list of hosts; the states of more are told in one line
+MAX_HOST_LINES = 10  #: Limit per endpoint list; if more hosts changed, one line counts their states.
 
-#: Outcomes of attempts and connections that ended as they should.
-ORDINARY_OUTCOMES = frozenset({AttemptOutcome.OK, AttemptOutcome.CANCELLED})
+#: Outcomes of attempts and connections that ended without a failure.
+EXPECTED_OUTCOMES = frozenset({AttemptOutcome.OK, AttemptOutcome.CANCELLED})
 
 
 class HostChange(NamedTuple):
@@ -26,29 +26,29 @@
 
     host: str
     state: ServerState
-    ready_since_us: int  #: 0: long ago
+    ready_since_us: int  #: 0 if long ago.
 
 
 class TrafficLog:
-    """Writes what happens to requests and hosts. Times are microseconds."""
+    """Logs events of requests and hosts. Times are microseconds."""
 
     def __init__(self, log: LogSink, warm_up_us: int) -> None:
         self._log = log
         self._warm_up_us = warm_up_us
 
     def hosts_changed(self, changes: Sequence[HostChange], now_us: int) -> None:
-        """Log the states in which hosts are listed now, and how long ago they started.
+        """Log the current states of hosts and the time since their start.
 
-        A host that is listed as ready and warm is the ordinary case, and not logged. Many changes at a time,
-        as in the first list, are counted in one line.
+        A host that is ready and warm is not logged. Many changes at once, as in the first list, are counted
+        in one line.
         """
-        told = [change for change in changes if not self._is_ordinary(change, now_us)]
-        if len(told) > MAX_HOST_LINES:
-            counts = Counter(change.state.name.lower() for change in told)
+        logged = [change for change in changes if not self._is_ordinary(change, now_us)]
+        if len(logged) > MAX_HOST_LINES:
+            counts = Counter(change.state.name.lower() for change in logged)
             text = ", ".join(f"{count} {state}" for state, count in sorted(counts.items()))
-            self._log(LogKind.HOST_STATE, f"hosts: {len(told)} draining, gone or in slow start: {text}")
+            self._log(LogKind.HOST_STATE, f"hosts: {len(logged)} draining, gone or in slow start: {text}")
             return
-        for change in told:
+        for change in logged:
             self._host_changed(change, now_us)
 
     def _is_ordinary(self, change: HostChange, now_us: int) -> bool:
@@ -63,21 +63,21 @@
         self._log(LogKind.HOST_STATE, text, host)
 
     def request_sent(self, request_id: int, host: str, ready_since_us: int, now_us: int) -> None:
-        """Log a request that was written to a host in slow start; others are not logged."""
+        """Log a request written to a host in slow start; requests to other hosts are not logged."""
         age_us = now_us - ready_since_us
         if ready_since_us and age_us < self._warm_up_us:
             text = f"request {request_id:016x}: sent to {host}, {_milliseconds(age_us)} ms after its start"
             self._log(LogKind.SLOW_START_REQUEST, text, host)
 
     def attempt_ended(self, request_id: int, host: str, outcome: AttemptOutcome, duration_us: int) -> None:
-        """Log an attempt, or a connection, that ended in a failure."""
-        if outcome not in ORDINARY_OUTCOMES:
+        """Log an attempt or connection that ended in a failure."""
+        if outcome not in EXPECTED_OUTCOMES:
             name = outcome.name.lower()
             text = f"request {request_id:016x}: {name} at {host} after {_milliseconds(duration_us)} ms"
             self._log(LogKind.ATTEMPT_FAILED, text, host)
 
     def request_answered(self, request_id: int, answer: str, attempts: int) -> None:
-        """Log a final answer that this node gave by itself."""
+        """Log a final answer that this node gave without an upstream."""
         text = f"request {request_id:016x}: {answer} after {attempts} attempts"
         self._log(LogKind.REQUEST_ANSWERED, text, answer)
 
