--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console and the metrics: operators get their answers, whatever clients and other callers do."""
+"""The console and the metrics: callers are answered regardless of clients and other callers."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     assert transport.closed and not console.sessions
 
 
-def test_a_call_may_end_with_the_end_of_sending(console: Console) -> None:
+def test_a_call_may_end_when_the_caller_closes_its_sending_side(console: Console) -> None:
     session, transport = open_session(console)
     session.data_received(b"status", 0)
     session.eof_received(0)
@@ -83,7 +83,7 @@
     assert transport.closed and not transport.sent and not console.sessions
 
 
-def test_silent_callers_delay_nobody_and_time_out(console: Console) -> None:
+def test_silent_callers_do_not_delay_others_and_time_out(console: Console) -> None:
     silent = [open_session(console)[1] for _ in range(3 * MAX_SESSIONS)]
     assert sum(not transport.closed for transport in silent) == MAX_SESSIONS, "their descriptors are bounded"
     session, transport = open_session(console)
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("sending_ended", [False, True], ids=["open", "ended its sending"])
 @pytest.mark.parametrize("resolved", [True, False])
-def test_a_deferred_answer_is_waited_for_until_it_times_out(
+def test_a_deferred_answer_is_awaited_until_it_times_out(
     console: Console, sending_ended: bool, resolved: bool
 ) -> None:
     deferred = DeferredAnswer()
@@ -119,7 +119,7 @@
         b"done\n" if resolved else b"error that is not written down yet; it holds here, and is tried on\n"
     )
     deferred.resolve("done\n", 9)
-    assert transport.sent.count(b"\n") == 1 and transport.half_closed, "one answer"
+    assert transport.sent.count(b"\n") == 1 and transport.half_closed, "exactly one answer"
 
 
 def test_a_deferred_answer_for_a_caller_that_has_disconnected_is_dropped(console: Console) -> None:
@@ -205,13 +205,13 @@
     testbed = node_testbed(tmp_path, settings=settings(tryLimit=1))
     testbed.send_request()
     (attempt,) = testbed.attempts()
-    attempt.machine.connection_lost(testbed.now)  # a failure, after which the policy avoids the host
+    attempt.machine.connection_lost(testbed.now)  # after a failure, the policy avoids the host
     assert metrics(testbed)["out_of_rotation"] == "1|g"
     testbed.run(4 * SECOND)
-    assert metrics(testbed)["out_of_rotation"] == "0|g", "it is tried again"
+    assert metrics(testbed)["out_of_rotation"] == "0|g", "the host is no longer avoided"
 
 
-def test_the_consoles_address_in_the_environment_precedes_the_files(tmp_path: Path) -> None:
+def test_the_consoles_address_in_the_environment_overrides_the_file(tmp_path: Path) -> None:
     environment = configuration(tmp_path, console="127.0.0.1:7")
     assert load_config(environment).console == ("127.0.0.1", 7)
     assert load_config(environment | {"PROXY_CONSOLE": "127.0.0.1:8"}).console == ("127.0.0.1", 8)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -21,13 +21,13 @@
     while not completed_at and testbed.now < started_us + 4 * SECOND:
         testbed.run(100_000)
         migrated.append(sum(transport.sent.endswith(b"MOVE\r\n") for transport in transports))
-    assert migrated[6] == 0, "connections stay at first, while other nodes may be down too"
+    assert migrated[6] == 0, "connections stay at first, since other nodes may be stopping too"
     assert 0 < migrated[11] < 30
     assert migrated[19] == 30
-    assert completed_at and completed_at[0] < started_us + 2_700_000, "SIGKILL may come then"
+    assert completed_at and completed_at[0] < started_us + 2_700_000, "the earliest SIGKILL"
 
 
-def test_graceful_shutdown_leaves_no_request_without_its_answer(tmp_path: Path) -> None:
+def test_graceful_shutdown_answers_every_request(tmp_path: Path) -> None:
     slow = settings(dialTimeoutUs=60 * SECOND)
     slow["classes"][0] |= {"aimUs": 60 * SECOND, "deadlineUs": 60 * SECOND}
     testbed = node_testbed(tmp_path, settings=slow)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: parent and successor joined in memory."""
+"""Hot restart: parent and successor connected in memory."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from tests.node_testbed import FakeTransport, NodeTestbed, node_testbed, policy_events
 
 
-class JoinedTransport(FakeTransport):
-    """One end of the connection between two processes: what is written arrives at the other end in pieces."""
+class ConnectedTransport(FakeTransport):
+    """One end of the connection between two processes; written data arrives at the other end in pieces."""
 
     def __init__(self, testbed: NodeTestbed, piece_bytes: int) -> None:
         super().__init__()
         self.testbed = testbed
         self.piece_bytes = piece_bytes
-        self.other_end: JoinedTransport | None = None
+        self.other_end: ConnectedTransport | None = None
         self.connection: SuccessorConnection | HotRestartSuccessor | None = None
 
     def write(self, data: bytes) -> None:
@@ -42,13 +42,13 @@
 
 
 class ProcessPair:
-    """A parent process, and processes that ask to take over, all of the latter on one node."""
+    """A parent process, and processes that request a handover; the latter share one node."""
 
     def __init__(self, folder: Path, piece_bytes: int = 5000) -> None:
         self.old = node_testbed(folder, known=hosts(host("s-1"), host("s-2")))
         self.new = node_testbed(folder, known=hosts())
         self.piece_bytes = piece_bytes
-        self.calls: list[str] = []  # that were made to open and close listeners
+        self.calls: list[str] = []  # calls that open and close listeners
         self.parent = create_parent(
             self.old.node,
             stop_accepting=lambda: self.calls.append("stop accepting"),
@@ -56,8 +56,8 @@
         )
 
     def connect_successor(self) -> HotRestartSuccessor:
-        parent_end = JoinedTransport(self.old, self.piece_bytes)
-        successor_end = JoinedTransport(self.new, self.piece_bytes)
+        parent_end = ConnectedTransport(self.old, self.piece_bytes)
+        successor_end = ConnectedTransport(self.new, self.piece_bytes)
         parent_end.other_end = successor_end
         successor_end.other_end = parent_end
         state = parse_handover_state(self.parent.state_line())
@@ -91,13 +91,13 @@
 
 
 @pytest.mark.parametrize("piece_bytes", [1, 7, 5000])
-def test_a_successor_serves_once_it_knows_enough_and_its_parent_accepts_no_more(
+def test_a_successor_serves_once_it_is_ready_and_its_parent_stops_accepting(
     tmp_path: Path, piece_bytes: int
 ) -> None:
     pair = ProcessPair(tmp_path, piece_bytes)
     successor = pair.connect_successor()
     pair.run(SECOND // 10)
-    assert pair.calls == [], "discovery has answered nothing yet"
+    assert pair.calls == [], "discovery has not answered yet"
     send_endpoints(pair.new)
     pair.run(SECOND // 10)
     assert pair.calls == ["start serving"] and not pair.old.node.has_successor
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize(
     ("reason", "delay_us"), [("discovery is down", 2 * SECOND), ("stopping", 0), ("gone", 0)]
 )
-def test_a_successor_does_not_wait_for_ever(tmp_path: Path, reason: str, delay_us: int) -> None:
+def test_a_successor_does_not_wait_indefinitely(tmp_path: Path, reason: str, delay_us: int) -> None:
     pair = ProcessPair(tmp_path)
     successor = pair.connect_successor()
     if reason == "stopping":
@@ -143,7 +143,7 @@
     assert pair.calls == ["stop accepting", "resume accepting", "stop accepting"]
 
 
-def test_a_process_that_only_asked_and_disconnected_changes_nothing(tmp_path: Path) -> None:
+def test_a_process_that_only_requested_a_handover_and_disconnected_changes_nothing(tmp_path: Path) -> None:
     pair = ProcessPair(tmp_path)
     first = pair.connect_successor()
     second = pair.connect_successor()
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"{}", b"[]", b'{"hosts": 1}', b"\xff", b"[" * 100_000])
-def test_a_malformed_state_line_is_an_error_of_its_own(line: bytes) -> None:
+def test_a_malformed_state_line_raises_a_handover_format_error(line: bytes) -> None:
     with pytest.raises(HandoverFormatError):
         parse_handover_state(line)
 
@@ -192,7 +192,7 @@
     assert not transport.sent
 
 
-def test_both_processes_together_keep_to_one_capacity_and_one_connection_count(tmp_path: Path) -> None:
+def test_both_processes_share_one_capacity_and_one_connection_count(tmp_path: Path) -> None:
     pair = ProcessPair(tmp_path)
     events = policy_events(pair.new)
     established = [pair.old.establish_client() for _ in range(5)]
@@ -210,7 +210,7 @@
     assert max(event.connections for event in reported) >= 2
 
 
-def test_connections_of_the_parent_count_in_the_choice_of_an_upstream(tmp_path: Path) -> None:
+def test_the_parents_connections_count_in_upstream_selection(tmp_path: Path) -> None:
     pair = ProcessPair(tmp_path)
     pair.connect_successor()
     server = pair.new.node.upstreams.by_name["s-1"].number
@@ -220,7 +220,9 @@
     assert {dial.machine.observer.upstream.name for dial in pair.new.attempts()} == {"s-2"}
 
 
-def test_a_shutdown_with_a_successor_rejects_nobody_and_migrates_over_all_its_time(tmp_path: Path) -> None:
+def test_a_shutdown_with_a_successor_rejects_no_request_and_spreads_migrations_over_its_duration(
+    tmp_path: Path,
+) -> None:
     pair = ProcessPair(tmp_path)
     testbed = pair.old
     established = [testbed.establish_client()[1] for _ in range(30)]
@@ -232,9 +234,11 @@
     attempt.accept(testbed.now)
     attempt.machine.data_received(b"UP 7\r\n", testbed.now)
     idle_session.data_received(LINE.replace("9b", "77").encode() + b"\r\n", testbed.now)
-    assert not idle.sent and not testbed.attempts()[-1].machine.sent, "it is tried like any other"
+    assert (
+        not idle.sent and not testbed.attempts()[-1].machine.sent
+    ), "the request is attempted like any other"
     migrated = [0]
-    # SIGKILL comes 2.7 s after the signal at the earliest, and all is done 0.7 s before it
+    # the earliest SIGKILL is 2.7 s after the signal, and migrations end 0.7 s before it
     for _ in range(12):
         testbed.run(SECOND // 6)
         migrated.append(sum(transport.sent.endswith(b"MOVE\r\n") for transport in established))
--- a/tests/test_line_framing.py
+++ b/tests/test_line_framing.py
@@ -1,4 +1,4 @@
-"""Splitting a stream of bytes into lines."""
+"""Splitting a byte stream into lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("cut", range(len(TEXT) + 1))
-def test_lines_come_out_complete_wherever_the_stream_is_cut(cut: int) -> None:
+def test_lines_are_complete_wherever_the_stream_is_split(cut: int) -> None:
     framer = LineFramer()
     assert framer.feed(TEXT[:cut]) + framer.feed(TEXT[cut:]) == [b"OPEN a", b"", b"LOAD 1.5"]
     assert framer.partial_line == b"half"
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance: it holds once the call is answered, and a host returns to service soon and in slow start."""
+"""Maintenance: effective once the call is answered; hosts return to service promptly and in slow start."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     awaiting_answer.machine.data_received(b"UP 8\r\n", testbed.now)
     testbed.run(SECOND // 2)
     assert all(transport.sent.endswith(b"MOVE\r\n") for _, transport, _ in established)
-    assert late_client.sent == b"UP 8\r\nMOVE\r\n", "it was established after the call"
+    assert late_client.sent == b"UP 8\r\nMOVE\r\n", "the connection was established after the call"
 
 
 def test_a_connection_from_before_the_start_waits_for_its_host_in_maintenance(tmp_path: Path) -> None:
@@ -76,7 +76,7 @@
     assert [dial.machine.observer.upstream.name for dial in testbed.attempts()] == ["s-1"]
 
 
-def test_one_disable_undoes_two_enables_and_unknown_hosts_are_rejected(tmp_path: Path) -> None:
+def test_one_disable_reverts_two_enables_and_unknown_hosts_are_rejected(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     maintenance = testbed.node.maintenance
     assert not maintenance.enable("s-9", testbed.now)
@@ -85,7 +85,7 @@
     assert maintenance.enable("s-1", testbed.now)
     assert maintenance.enable("s-1", testbed.now)
     testbed.node.endpoints_received(parse_endpoint_list(hosts(host("s-2"))), testbed.now)
-    assert maintenance.enable("s-1", testbed.now), "in maintenance, though listed no more"
+    assert maintenance.enable("s-1", testbed.now), "in maintenance, though no longer listed"
     assert maintenance.disable("s-1", testbed.now)
     assert not maintenance.hosts
     assert not maintenance.disable("s-1", testbed.now)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("listing", ["listed all along", "listed again later", "listed with its new start"])
-def test_a_returned_host_is_cold_and_tried_at_once(tmp_path: Path, listing: str) -> None:
+def test_a_returned_host_is_in_slow_start_and_used_at_once(tmp_path: Path, listing: str) -> None:
     testbed = node_testbed(tmp_path)
     reported = policy_events(testbed)
     put_all_into_maintenance_but(testbed, "s-2")
@@ -117,9 +117,11 @@
         if entry.server_id == upstream_number(testbed, "s-1")
     ]
     assert entries[-1].state == ServerState.READY
-    assert entries[-1].ready_since_us == testbed.now, "cold, whatever is listed"
+    assert entries[-1].ready_since_us == testbed.now, "in slow start, regardless of the listed start"
     testbed.establish_client()
-    assert testbed.attempts()[-1].machine.observer.upstream.name == "s-1", "the next one goes there"
+    assert (
+        testbed.attempts()[-1].machine.observer.upstream.name == "s-1"
+    ), "the next request goes to the returned host"
     chosen = set[str]()
     for _ in range(19):
         testbed.establish_client()
@@ -141,11 +143,11 @@
     assert testbed.attempts()[-1].machine.observer.upstream.name == "s-1"
     testbed.run(5 * SECOND)
     migrated_later = sum(transport.sent.endswith(b"MOVE\r\n") for transport in established)
-    assert migrated_later == migrated, "and no more than necessary"
+    assert migrated_later == migrated, "no further migrations than necessary"
 
 
 @pytest.mark.parametrize("returned_ago_us", [SECOND, 20 * SECOND])
-def test_a_successor_knows_which_hosts_returned(tmp_path: Path, returned_ago_us: int) -> None:
+def test_a_successor_receives_the_return_times_of_hosts(tmp_path: Path, returned_ago_us: int) -> None:
     testbed = node_testbed(tmp_path)
     put_all_into_maintenance_but(testbed, "s-2")
     testbed.node.maintenance.disable("s-1", testbed.now)
@@ -181,7 +183,7 @@
     assert (gauges["registry_entries"], gauges["out_of_rotation"]) == (1, 0)
 
 
-def test_both_processes_follow_the_marks(tmp_path: Path) -> None:
+def test_both_processes_apply_the_marks(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     other = node_testbed(tmp_path)
     marks = InMemoryMarks()
@@ -215,7 +217,7 @@
 
 
 @pytest.mark.parametrize("name", ["s-1", "../s-1", "a/b", ".", "%2F", "é\n"])
-def test_marks_are_files_in_their_directory_whatever_the_name(tmp_path: Path, name: str) -> None:
+def test_marks_are_files_in_their_directory_for_any_host_name(tmp_path: Path, name: str) -> None:
     directory = tmp_path / "state"
     directory.mkdir()
     marks = MarkFiles(str(directory))
@@ -230,7 +232,7 @@
         marks.add("x" * 300)
 
 
-def test_a_remembered_drain_outlives_the_list_and_ends_with_a_newer_start_only(tmp_path: Path) -> None:
+def test_a_recorded_drain_outlives_the_list_and_ends_only_with_a_newer_start(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     drain_memory = InheritedDrains({"s-1": START_MS})
     testbed.node.drain_memory = drain_memory
@@ -248,8 +250,8 @@
     assert upstream_number(testbed, "s-2") and not testbed.node.is_listed("s-1")
 
 
-def test_a_return_that_lies_in_the_future_by_another_clock_counts_as_now(tmp_path: Path) -> None:
-    """Guards against a host that stays in slow start for an hour since its parent's clock was ahead."""
+def test_a_return_time_in_the_future_is_treated_as_now(tmp_path: Path) -> None:
+    """Guards against an hour of slow start for a host because the parent's clock was ahead."""
     testbed = node_testbed(tmp_path)
     reported = policy_events(testbed)
     testbed.node.apply_return_to_service_times({"s-1": testbed.now + 3600 * SECOND}, testbed.now)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node as a whole, in memory."""
+"""A complete node in memory."""
 
 from __future__ import annotations
 
--- a/tests/test_timer_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -8,7 +8,7 @@
 TICK_US = 5000
 
 
-def test_timers_are_called_at_the_first_tick_not_before_their_time_unless_cancelled() -> None:
+def test_timers_are_called_at_the_first_tick_at_or_after_their_time_unless_cancelled() -> None:
     wheel = TimerWheel(TICK_US, 0)
     called = list[tuple[str, int]]()
 
@@ -24,7 +24,7 @@
     assert called == [("past", 5000), ("near", 15_000), ("far", 6 * SECOND)]
 
 
-def test_a_timer_that_raises_does_not_keep_the_others_of_its_slot_from_being_called() -> None:
+def test_a_timer_that_raises_does_not_prevent_others_of_its_slot_from_being_called() -> None:
     wheel = TimerWheel(TICK_US, 0)
     errors: list[Exception] = []
     called: list[int] = []
--- a/tests/test_traffic_log.py
+++ b/tests/test_traffic_log.py
@@ -1,4 +1,4 @@
-"""The log lines with which a request or a host's slow start is followed."""
+"""Log lines for tracing a request or a host's slow start."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from limerudder.core.discovery.endpoint_list import parse_endpoint_list
 from tests.node_testbed import START_TIME_US, node_testbed
 
-STARTED_MS = START_TIME_US // 1000 - 300  # of a host that is in slow start
+STARTED_MS = START_TIME_US // 1000 - 300  # start time of a host that is in slow start
 
 
 def test_a_failed_attempt_and_the_final_answer_name_the_request(tmp_path: Path) -> None:
@@ -23,7 +23,7 @@
     assert lines[-1] == request + "rejected after 2 attempts"
 
 
-def test_a_host_in_slow_start_is_logged_with_its_age_and_an_ordinary_one_is_not(tmp_path: Path) -> None:
+def test_a_host_in_slow_start_is_logged_with_its_age_and_a_warm_one_is_not(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     assert not any(text.startswith("host ") for text in testbed.logged)
     restarted = host("s-1") | {"startedAtMs": STARTED_MS}
@@ -41,8 +41,8 @@
 
 
 def test_a_list_that_changes_thousands_of_hosts_is_one_line(tmp_path: Path) -> None:
-    """Guards against report 47952f's candidate I: a line a host, written before the node listened."""
-    cold = [host(f"s-{n}") | {"startedAtMs": STARTED_MS} for n in range(3200)]
-    testbed = node_testbed(tmp_path, known=hosts(*cold))
+    """Guards against one log line per host, written before the node listens (report 47952f, candidate I)."""
+    in_slow_start = [host(f"s-{n}") | {"startedAtMs": STARTED_MS} for n in range(3200)]
+    testbed = node_testbed(tmp_path, known=hosts(*in_slow_start))
     lines = [text for text in testbed.logged if text.startswith("host")]
     assert lines == ["hosts: 3200 draining, gone or in slow start: 3200 ready"]
