--- a/limerudder/core/operations/rule_monitor.py
+++ b/limerudder/core/operations/rule_monitor.py
@@ -14,9 +14,9 @@
 class Rule(StrEnum):
     """The rules that are checked in production; the values are the log texts of their violations."""
 
-    SEND_CONFIRMED = "a request was written without the guard's consent"
+    SEND_CONFIRMED = "a request was written without confirmation by the send guard"
     SEND_IN_TURN = "a request was written to a host in slow start after its turn"
-    SEND_FOR_CLIENT = "a request was written after its client had left"
+    SEND_FOR_CLIENT = "a request was written after its client had disconnected"
     SEND_TO_READY_HOST = "a request was written to a host that drains"
     SEND_IN_TIME = "a request was written after its deadline"
     ONE_ATTEMPT = "a request had two attempts at a time"
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -88,7 +88,7 @@
     (dial,) = testbed.attempts()
     dial.machine.first_bytes_sent(testbed.now)
     assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 1
-    assert "without the guard's consent" in testbed.logged[-1]
+    assert "without confirmation by the send guard" in testbed.logged[-1]
 
 
 def test_a_write_that_ends_late_at_a_host_that_drains_is_counted(tmp_path: Path) -> None:
