--- a/limerudder/core/peering.py
+++ b/limerudder/core/peering.py
@@ -32,17 +32,17 @@
         A datagram that is not from a peer, too long or malformed is counted and logged.
         """
         if sender is None or len(data) > MAX_DATAGRAM_BYTES:
-            self._malformed(sender, f"of {len(data)} bytes (at most {MAX_DATAGRAM_BYTES} are accepted)")
+            self._malformed(sender, f"of {len(data)} bytes (at most {MAX_DATAGRAM_BYTES} are taken)")
             return
         self._counters.increment(CounterName.PEER_MESSAGES_RECEIVED)
         malformed_before = self._policy.malformed_peer_messages()
         self._dispatch(PeerMessage(sender, data), now_us)
         if self._policy.malformed_peer_messages() > malformed_before:
-            self._malformed(sender, "of unsupported format")
+            self._malformed(sender, "of no known form")
 
     def _malformed(self, sender: int | None, description: str) -> None:
         self._counters.increment(CounterName.PEER_MESSAGES_MALFORMED)
-        source = "an address that does not belong to a peer" if sender is None else f"node {sender}"
+        source = "an address that is no peer's" if sender is None else f"node {sender}"
         self.log(LogKind.PEER_DATAGRAM_DROPPED, f"node: a datagram {description} came from {source}; dropped")
 
     def send(self, action: SendPeerMessage) -> None:
--- a/tests/test_peering.py
+++ b/tests/test_peering.py
@@ -37,9 +37,9 @@
     kinds = {kind for kind, _ in logged}
     assert kinds == {LogKind.PEER_DATAGRAM_DROPPED}, "a separate kind: a flood suppresses no other lines"
     assert [text.removeprefix("node: a datagram ") for _, text in logged] == [
-        "of 5 bytes (at most 256 are accepted) came from an address that does not belong to a peer; dropped",
-        "of 257 bytes (at most 256 are accepted) came from node 1; dropped",
-        "of unsupported format came from node 1; dropped",
+        "of 5 bytes (at most 256 are taken) came from an address that is no peer's; dropped",
+        "of 257 bytes (at most 256 are taken) came from node 1; dropped",
+        "of no known form came from node 1; dropped",
     ]
 
 
