--- a/limerudder/core/lifecycle/hot_restart/node_binding.py
+++ b/limerudder/core/lifecycle/hot_restart/node_binding.py
@@ -38,7 +38,7 @@
 
     def hand_over() -> None:
         node.has_successor = True
-        node.leave_turns()
+        node.release_turns()
         stop_accepting()
 
     def resume_serving() -> None:
@@ -72,7 +72,7 @@
         node.take_turns(HANDOVER_OVERLAP_US)
         start_serving()
 
-    node.leave_turns()
+    node.release_turns()
     hooks = SuccessorHooks(
         is_ready_to_serve=node.is_ready_to_serve,
         set_parent_usage=node.set_other_process_usage,
--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -279,7 +279,7 @@
         """Return this process's usage of the resources that the node's processes share."""
         return self._resource_sharing.usage()
 
-    def leave_turns(self) -> None:
+    def release_turns(self) -> None:
         """Stop sending to upstreams in slow start; another process uses this node's turns."""
         self.timer_wheel.schedule(0, partial(self._set_turn_ownership, False))
 
@@ -327,7 +327,7 @@
         """Reject new requests and migrate clients in steps, finishing before the earliest SIGKILL."""
         if self.shutdown_deadline_us:
             return
-        self.leave_turns()  # the process that replaces this one may already be running
+        self.release_turns()  # the process that replaces this one may already be running
         longest_deadline_us = max(traffic_class.deadline_us for traffic_class in self.settings.classes)
         self.shutdown_deadline_us = earliest_kill_time_us(longest_deadline_us, now_us)
         hooks = ShutdownHooks(
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -310,7 +310,7 @@
     def log(self, kind: LogKind, text: str, /, detail: str = "") -> None:
         """Not looked at here."""
 
-    def leave_turns(self) -> None:
+    def release_turns(self) -> None:
         """Not looked at here."""
 
     def take_turns(self, delay_us: int = 0) -> None:
