--- a/limerudder/core/lifecycle/hot_restart/node_binding.py
+++ b/limerudder/core/lifecycle/hot_restart/node_binding.py
@@ -43,7 +43,7 @@
 
     def resume_serving() -> None:
         node.has_successor = False
-        node.take_turns()
+        node.acquire_turns()
         resume_accepting()
 
     hooks = ParentHooks(
@@ -69,7 +69,7 @@
     """Create the successor's side for a node that was built with the parent's endpoint list."""
 
     def serve() -> None:
-        node.take_turns(HANDOVER_OVERLAP_US)
+        node.acquire_turns(HANDOVER_OVERLAP_US)
         start_serving()
 
     node.release_turns()
--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -283,7 +283,7 @@
         """Stop sending to upstreams in slow start; another process uses this node's turns."""
         self.timer_wheel.schedule(0, partial(self._set_turn_ownership, False))
 
-    def take_turns(self, delay_us: int = 0) -> None:
+    def acquire_turns(self, delay_us: int = 0) -> None:
         """Use this node's turns at upstreams in slow start after a delay, when no other process does."""
 
         def schedule(now_us: int) -> None:
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -65,7 +65,7 @@
     testbed.node.release_turns()
     testbed.run(4 * SECOND)
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
-    testbed.node.take_turns(delay_us=SECOND)
+    testbed.node.acquire_turns(delay_us=SECOND)
     testbed.run(5000)
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
     testbed.run(4 * SECOND)
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -313,7 +313,7 @@
     def release_turns(self) -> None:
         """Not looked at here."""
 
-    def take_turns(self, delay_us: int = 0) -> None:
+    def acquire_turns(self, delay_us: int = 0) -> None:
         """Not looked at here."""
 
     def endpoint_list(self) -> EndpointList:
