--- a/limerudder/core/operations/rule_monitor.py
+++ b/limerudder/core/operations/rule_monitor.py
@@ -1,6 +1,6 @@
-"""Counts, while the node runs, every time that one of its rules does not hold.
+"""Counts violations of the node's rules at run time.
 
-The guards are to make that impossible; what is counted here is a defect of the node, whatever caused it.
+The guards are meant to prevent them; each violation is a defect of the node, regardless of its cause.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Rule(StrEnum):
-    """The rules that are checked in service."""
+    """The rules that are checked in production; the values are the log texts of their violations."""
 
-    SEND_CONFIRMED = "a request was written without the guard's consent"
+    SEND_CONFIRMED = "a request was written without confirmation by the send guard"
     SEND_IN_TURN = "a request was written to a host in slow start after its turn"
-    SEND_FOR_CLIENT = "a request was written after its client had left"
+    SEND_FOR_CLIENT = "a request was written after its client had disconnected"
     SEND_TO_READY_HOST = "a request was written to a host that drains"
     SEND_IN_TIME = "a request was written after its deadline"
     ONE_ATTEMPT = "a request had two attempts at a time"
@@ -26,7 +26,7 @@
 
 
 class RuleMonitor:
-    """Takes violations of rules; each is counted and logged."""
+    """Counts and logs violations of rules."""
 
     def __init__(self, counters: Counters, log: LogSink) -> None:
         self._counters = counters
--- a/limerudder/core/peering.py
+++ b/limerudder/core/peering.py
@@ -1,4 +1,4 @@
-"""Datagrams from and to the peers, which are the other nodes of the tier."""
+"""Exchanges datagrams with peers, the other nodes of the tier."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         self._dispatch = services.dispatch
 
     def datagram_received(self, sender: int | None, data: bytes, now_us: int) -> None:
-        """Give a peer's datagram to the policy; `sender` is None where the address is no peer's.
+        """Pass a peer's datagram to the policy; `sender` is None if the address does not belong to a peer.
 
         A datagram that is not from a peer, too long or malformed is counted and logged.
         """
@@ -46,7 +46,7 @@
         self.log(LogKind.PEER_DATAGRAM_DROPPED, f"node: a datagram {description} came from {source}; dropped")
 
     def send(self, action: SendPeerMessage) -> None:
-        """Send the policy's message, where the settings allow messages and it is not too long."""
+        """Send a message of the policy if the settings allow it and its length is within the limit."""
         if self._is_allowed and len(action.data) <= MAX_DATAGRAM_BYTES:
             self._counters.increment(CounterName.PEER_MESSAGES_SENT)
             self._network.send_datagram(action.peer, action.data)
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -62,10 +62,10 @@
     number = testbed.node.upstreams.by_name["s-1"].number
     testbed.run(2 * SECOND + 5000)
     assert testbed.node.balancer.confirm_send(0, number, testbed.now)
-    testbed.node.leave_turns()
+    testbed.node.release_turns()
     testbed.run(4 * SECOND)
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
-    testbed.node.take_turns(delay_us=SECOND)
+    testbed.node.acquire_turns(delay_us=SECOND)
     testbed.run(5000)
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
     testbed.run(4 * SECOND)
@@ -88,7 +88,7 @@
     (dial,) = testbed.attempts()
     dial.machine.first_bytes_sent(testbed.now)
     assert testbed.node.counters[CounterName.RULE_VIOLATIONS] == 1
-    assert "without the guard's consent" in testbed.logged[-1]
+    assert "without confirmation by the send guard" in testbed.logged[-1]
 
 
 def test_a_write_that_ends_late_at_a_host_that_drains_is_counted(tmp_path: Path) -> None:
