--- a/limerudder/policy/actions.py
+++ b/limerudder/policy/actions.py
@@ -1,6 +1,6 @@
-"""Actions that a connection policy asks its node to carry out, in order.
+"""Actions that a connection policy requests from its node, which executes them in order.
 
-Times are whole microseconds. The simulator's protocol packs the fields by position, so their order is part
+Times are integer microseconds. The simulator's protocol packs the fields by position, so their order is part
 of the interface.
 """
 
@@ -8,11 +8,11 @@
 
 from typing import NamedTuple
 
-ALL_PEERS = 0xFFFFFFFF  #: in place of one peer's number: every other node of the tier
+ALL_PEERS = 0xFFFFFFFF  #: Value of `SendPeerMessage.peer` for every other node of the tier
 
 
 class StartAttempt(NamedTuple):
-    """Start an attempt to connect a request to a server, and give it up after the timeout."""
+    """Start an attempt to connect a request to a server; the attempt is aborted after the timeout."""
 
     request_id: int
     server_id: int
@@ -20,34 +20,34 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: rejected; the client may safely retry, after `retry_after_us` where that is not 0."""
+    """Final answer: rejected; the client may safely retry, after `retry_after_us` if that is not 0."""
 
     request_id: int
     retry_after_us: int
 
 
 class FailRequest(NamedTuple):
-    """Final answer: failed; the request may have been executed, so a retry is not known to be safe."""
+    """Final answer: failed; the request may have been executed, so a retry may be unsafe."""
 
     request_id: int
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Stop waiting for the result of one attempt."""
 
     request_id: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Deliver a TimerFired event with this token at a clock time."""
+    """Deliver a TimerFired event with this token at the given clock time."""
 
     due_at_us: int
     token: int
 
 
 class CheckHealth(NamedTuple):
-    """Send a health check, which brings a load report, to one server."""
+    """Send a health check to one server; its result includes a load report."""
 
     server_id: int
 
@@ -78,7 +78,7 @@
 
 
 class PollEndpoints(NamedTuple):
-    """Ask once for the complete endpoint list."""
+    """Request the complete endpoint list once."""
 
 
 class MigrateClient(NamedTuple):
@@ -88,7 +88,7 @@
 
 
 class PolicyError(NamedTuple):
-    """The policy raised an exception; made by the host of a Balancer, never by the Balancer itself."""
+    """The policy raised an exception; created by the code that runs a Balancer, never by the Balancer."""
 
     text: str
 
--- a/limerudder/policy/events.py
+++ b/limerudder/policy/events.py
@@ -1,8 +1,8 @@
-"""Events that a node reports to its connection policy: what has happened.
+"""Events that a node reports to its connection policy.
 
-Times are whole microseconds. Events are NamedTuples: they are made by the thousand, and a tuple is the
-cheapest immutable record Python has. The simulator's protocol fills them by position, so the order of the
-fields is part of the interface.
+Times are integer microseconds. Events are NamedTuples because they are created in large numbers and a tuple
+is the cheapest immutable record in Python. The simulator's protocol fills them by position, so the order of
+the fields is part of the interface.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 class UpdateKind(IntEnum):
-    """How an EndpointUpdate relates to the endpoint list that the policy holds."""
+    """How an EndpointUpdate relates to the endpoint list of the policy."""
 
-    DELTA = 0  #: only the entries that have changed
-    FAILED = 1  #: discovery could not be read
-    FULL = 2  #: the complete list
-    CACHED = 3  #: the complete list as this node stored it before it started
-    OPERATOR = 4  #: entries that operators have taken out of service or put back, not discovery
+    DELTA = 0  #: Only the entries that have changed
+    FAILED = 1  #: Discovery could not be read
+    FULL = 2  #: The complete list
+    CACHED = 3  #: The complete list that this node stored before it started
+    OPERATOR = 4  #: Entries taken out of service or returned to it by operators, not by discovery
 
 
 class AttemptOutcome(IntEnum):
-    """How an attempt, or a health check, ended."""
+    """The outcome of an attempt or a health check."""
 
     OK = 200
     FULL = 429
@@ -43,17 +43,17 @@
     CONNECT_FAILED = 521
 
 
-#: Outcomes that prove that the server has not executed the attempt.
+#: Outcomes that guarantee that the server has not executed the request.
 NOT_EXECUTED_OUTCOMES = frozenset(
     {AttemptOutcome.FULL, AttemptOutcome.OBSOLETE, AttemptOutcome.CONNECT_FAILED}
 )
 
-FLAG_MID_CONNECTION = 8  #: request flag: packets of an open connection have reached this node
-FLAG_RECONNECT = 16  #: request flag: the client reconnects after its connection broke or was migrated
+FLAG_MID_CONNECTION = 8  #: Request flag: packets of an open connection have reached this node
+FLAG_RECONNECT = 16  #: Request flag: the client reconnects after its connection broke or was migrated
 
 
 class ServerEntry(NamedTuple):
-    """One line of the endpoint list."""
+    """One entry of the endpoint list."""
 
     server_id: int
     zone: int
@@ -73,7 +73,7 @@
 
 
 class NewRequest(NamedTuple):
-    """A client requests a connection; exactly one final answer is owed.
+    """A client requests a connection; exactly one final answer is required.
 
     `traffic_class` is the index of the class in the settings.
     """
@@ -89,7 +89,7 @@
 
 
 class ExistingConnection(NamedTuple):
-    """A connection that already ran through this node when the policy started."""
+    """A connection that was already established through this node when the policy started."""
 
     request_id: int
     traffic_class: int
@@ -114,7 +114,7 @@
 class AttemptEnded(NamedTuple):
     """One attempt, or the connection it established, has ended.
 
-    `outcome` is an AttemptOutcome; `request_closed` says that no further answer is owed.
+    `outcome` is an AttemptOutcome; `request_closed` means that no further answer is required.
     """
 
     request_id: int
@@ -127,13 +127,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has disconnected; no answer is owed any more."""
+    """The client has disconnected; its request requires no further answer."""
 
     request_id: int
 
 
 class LoadSample(NamedTuple):
-    """The load of an open connection has changed; in microseconds of work a second."""
+    """The load of an open connection has changed; the unit is microseconds of work per second."""
 
     request_id: int
     server_id: int
@@ -142,7 +142,7 @@
 
 
 class LatencySample(NamedTuple):
-    """How long a message took on an open connection, in milliseconds."""
+    """The latency of one message on an open connection, in milliseconds."""
 
     request_id: int
     server_id: int
@@ -151,26 +151,26 @@
 
 
 class PredecessorConnections(NamedTuple):
-    """How many connections at a server the process that this one replaces still holds."""
+    """The number of connections to a server that are still open in the predecessor process."""
 
     server_id: int
     connections: int
 
 
 class TurnOwnership(NamedTuple):
-    """Whether this process, and no other one of the same node, uses the node's turns (see slow_start)."""
+    """Whether this process is the one of its node that uses the node's turns (see slow_start)."""
 
     is_own: bool
 
 
 class TimerFired(NamedTuple):
-    """A timer that the policy has set is due."""
+    """A timer set by the policy has expired."""
 
     token: int
 
 
 class HealthCheckResult(NamedTuple):
-    """A health check has ended; `load_report` holds the values of the settings' report fields."""
+    """A health check has ended; `load_report` contains the values of the settings' report fields."""
 
     server_id: int
     latency_us: int
--- a/limerudder/policy/hash_ring.py
+++ b/limerudder/policy/hash_ring.py
@@ -1,7 +1,7 @@
-"""Consistent hashing: a ring of members that looks the same to every node that holds the same members.
+"""Consistent hashing: a ring that is identical at all nodes with the same members.
 
-After Karger et al., "Consistent Hashing and Random Trees" (STOC'97). A container only: the balancer decides
-which servers are members and how far a walk goes.
+After Karger et al., "Consistent Hashing and Random Trees" (STOC'97). A data structure only: the balancer
+decides which servers are members and how far a walk goes.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from zlib import crc32
 
-POINTS_PER_WEIGHT = 4  #: points of a member of weight 1: more points even out how often each one is met first
-MAX_POINTS = 64  #: of any member, whatever its weight
+POINTS_PER_WEIGHT = 4  #: Points of a member of weight 1; more points distribute the keys more evenly
+MAX_POINTS = 64  #: Maximum number of points of a member
 MEMBER_BITS = 32
 MEMBER_MASK = (1 << MEMBER_BITS) - 1
 
@@ -19,12 +19,12 @@
 class HashRing:
     """A ring of members with 32-bit ids.
 
-    Members that are added and removed take their places together at the next walk: one after the other,
-    thousands would each move the whole ring.
+    Additions and removals are applied together at the next walk: applied one by one, each of thousands of
+    changes would move the whole ring.
     """
 
     def __init__(self) -> None:
-        self._points: list[int] = []  # sorted; hash in the high bits, member in the low bits
+        self._points: list[int] = []  # Sorted; hash in the high bits, member in the low bits
         self._point_counts: dict[int, int] = {}
         self._added_points: set[int] = set()
         self._removed_points: set[int] = set()
@@ -44,8 +44,8 @@
         self._added_points -= points
 
     def walk(self, key: int) -> Iterator[int]:
-        """Yield every member once, in the order of the ring from the key's place on."""
-        self._settle()
+        """Yield every member once, in ring order starting at the key's position."""
+        self._apply_changes()
         points = self._points
         visited = set[int]()
         start = bisect_left(points, crc32(b"%d" % key) << MEMBER_BITS)
@@ -55,12 +55,12 @@
                 visited.add(member)
                 yield member
 
-    def _settle(self) -> None:
+    def _apply_changes(self) -> None:
         if self._removed_points:
             self._points = [point for point in self._points if point not in self._removed_points]
             self._removed_points = set()
         if self._added_points:
-            # a new list, since a walk may be under way; nearly sorted, which the sort makes use of
+            # A new list, since a walk may be in progress. It is nearly sorted, which makes the sort fast.
             self._points = sorted([*self._points, *sorted(self._added_points)])
             self._added_points = set()
 
--- a/limerudder/policy/load_events.py
+++ b/limerudder/policy/load_events.py
@@ -1,4 +1,4 @@
-"""Passes what nodes and servers tell of loads and latencies to the parts of the policy that learn from it."""
+"""Passes loads and latencies reported by nodes and servers to the parts of the policy that use them."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
             self.loads.record_connection_load(connection, event.load_us_per_second)
 
     def on_latency_sample(self, event: events.LatencySample) -> None:
-        """A message on an established connection has taken this long."""
+        """The latency of a message on an established connection has been sampled."""
         connection = self.connections.find_attempt(event)
         if connection is None or connection.server is None:
             return
@@ -51,7 +51,7 @@
             self.overload_relief.on_slow_message(server)
 
     def on_health_check_result(self, event: events.HealthCheckResult) -> None:
-        """A health check has ended, as a rule with a load report."""
+        """A health check has ended, usually with a load report."""
         server = self.registry.servers.get(event.server_id)
         if server is None:
             return
@@ -61,7 +61,7 @@
             self._on_load_report(server, *report)
 
     def on_peer_message(self, event: events.PeerMessage) -> None:
-        """A peer has sent the load reports of its round."""
+        """A peer has sent the load reports of its gossip round."""
         for report in self.gossip_exchange.receive(event):
             self._on_load_report(*report)
 
--- a/limerudder/policy/records.py
+++ b/limerudder/policy/records.py
@@ -1,4 +1,4 @@
-"""What a policy keeps of each server and of each connection; it decides nothing."""
+"""State that the policy keeps for each server and each connection; it makes no decisions."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 )
 from limerudder.policy.settings import TrafficClass
 
-SECOND = 1_000_000  #: in microseconds, the unit of all times here
+SECOND = 1_000_000  #: One second in microseconds, the unit of all times in the policy
 RATE_WINDOW_US = 15 * SECOND
 
 
 class RateEstimator:
-    """Estimates how often something happens per second, over a window or since the process started.
+    """Estimates the rate of an event per second, over a window or since the process started.
 
-    An exponentially decaying count whose window grows until it is `window_us` long.
+    Keeps an exponentially decaying count whose window grows with the uptime, up to `window_us`.
     """
 
     def __init__(self, window_us: int = RATE_WINDOW_US) -> None:
@@ -38,7 +38,7 @@
         return self.rate
 
     def read(self, now_us: int, started_at_us: int) -> float:
-        """Return the rate now; it falls while nothing is recorded."""
+        """Return the current rate, which decays while nothing is recorded."""
         window_us = self._window_us(now_us, started_at_us)
         return self.rate * max(0.0, 1 - (now_us - self.updated_at_us) / window_us)
 
@@ -55,7 +55,7 @@
         self._refilled_at_us = 0
 
     def try_acquire(self, now_us: int, refill_per_second: float) -> bool:
-        """Take one token and return True, or return False if none is available."""
+        """Consume one token and return True, or return False if none is available."""
         self._refill(now_us, refill_per_second)
         if self._tokens < 1:
             return False
@@ -70,14 +70,14 @@
 
 @dataclass(slots=True)
 class Turns:
-    """What is left of a node's turns at one server in one slot of time (see slow_start_schedule)."""
+    """The remaining turns of a node at one server in one time slot (see slow_start_schedule)."""
 
     slot: int = -1
     left: int = 0
 
 
 class Permit:
-    """A turn at a server in slow start that was taken for a request, which may be written until it ends."""
+    """A turn at a server in slow start, reserved for a request that may be written until the turn expires."""
 
     __slots__ = ("_expires_at_us", "_server", "_server_ready_since_us")
 
@@ -87,7 +87,7 @@
         self._expires_at_us = expires_at_us
 
     def is_valid(self, server: Server, now_us: int) -> bool:
-        """Whether the request may be written to this server now, which may have restarted meanwhile."""
+        """Whether the request may be written to this server now; False after the server has restarted."""
         return (
             server is self._server
             and server.ready_since_us == self._server_ready_since_us
@@ -96,61 +96,61 @@
 
 
 class Server:
-    """What the policy knows of one server."""
+    """The policy's state for one server."""
 
     def __init__(self, server_id: int) -> None:
         self.id = server_id
         self.zone = 0
         self.cell = 0
         self.state: int = ServerState.GONE
-        self.weight = 1.0  # its size as discovery lists it
+        self.weight = 1.0  # Size as listed by discovery
         self.ready_since_us = 0
-        #: Attempts under way and established connections of this node, by request id.
+        #: This node's pending attempts and established connections, by request id.
         self.connections: dict[int, Connection] = {}
         self.pending_attempts = 0
-        #: Connections that the process which this one replaces still holds.
+        #: Connections still open in the predecessor process of a hot restart.
         self.predecessor_connections = 0
-        #: What is left of this node's turns while the server is in slow start; a restart brings no new ones.
+        #: This node's remaining turns while the server is in slow start; a restart of the server adds none.
         self.base_turns = Turns()
         self.share_turns = Turns()
         self.reset()
 
     @property
     def connection_count(self) -> int:
-        """The node's own connections here, with attempts under way."""
+        """The node's connections to the server, with pending attempts and the predecessor's connections."""
         return len(self.connections) + self.predecessor_connections
 
     def reset(self) -> None:
-        """Forget everything learned: the server is new, or has restarted."""
+        """Discard all learned state: the server is new or has restarted."""
         self._reset_availability()
         self._reset_reports()
         self._reset_inference()
 
     def _reset_availability(self) -> None:
-        self.connection_limit: int | None = None  # learned when the server refused or reset a connection
+        self.connection_limit: int | None = None  # Set when the server refuses or resets a connection
         self.connection_limit_set_at_us = 0
         self.consecutive_failures = 0
         self.ejected_until_us = 0
-        self.slow_until_us = 0  # avoided until then because messages or health checks took long
+        self.slow_until_us = 0  # End of avoidance after slow responses
 
     def _reset_reports(self) -> None:
-        #: Share of its capacity that the server is asked for, smoothed over its reports.
+        #: Demand on the server as a share of its capacity, smoothed over its reports.
         self.load: float | None = None
         self.load_at_us = 0
-        self.load_connection_count = 0  # own connections here when `load` was computed
-        self.health_check_sent_at_us = 0  # 0: none is unanswered
-        self.relieved_at_us = 0  # when connections were last migrated away from here
-        self.load_report = (0.0, 0)  # the last one as received: load, connections of all nodes
+        self.load_connection_count = 0  # This node's connections when `load` was computed
+        self.health_check_sent_at_us = 0  # 0 while none is pending
+        self.relieved_at_us = 0  # Time of the last migration to reduce overload
+        self.load_report = (0.0, 0)  # Last report as received: load, connections of all nodes
         self.load_report_at_us = -SECOND
         self.reported_connections = 0.0
-        self.backlog_us = 0.0  # work that has piled up, computed from reports
+        self.backlog_us = 0.0  # Unfinished work, computed from reports
 
     def _reset_inference(self) -> None:
-        """Where servers report no loads: see load_inference."""
-        self.latency_sample = (0.0, -SECOND)  # message latency in microseconds, and when it was sampled
-        self.latency_sample_at_us = 0  # when any sample came
-        self.load_at_latency_sample = 0.0  # own load here at that time
-        self.reset_at_us = -SECOND  # when the server last reset an established connection
+        """Reset the state that is used where servers report no loads (see load_inference)."""
+        self.latency_sample = (0.0, -SECOND)  # Message latency in microseconds, time of the sample
+        self.latency_sample_at_us = 0  # Time of the latest sample, stored above or not
+        self.load_at_latency_sample = 0.0  # This node's load as of `latency_sample`
+        self.reset_at_us = -SECOND  # Last reset of an established connection
         self.min_capacity = 0.0
         self.other_nodes_load = 0.0
 
@@ -177,20 +177,20 @@
         self.is_reconnect = bool(event.flags & FLAG_RECONNECT)
         self.deadline_us = now_us + event.time_left_us
         self.objective_at_us = now_us + min(traffic_class.latency_objective_us, event.time_left_us)
-        self.ring_key = 0  # its place on the hash ring if it has no group
-        self.answered = False  # no further answer is owed
-        self.established = False  # stays True to its end
+        self.ring_key = 0  # Position on the hash ring without a group
+        self.answered = False  # No further answer is required
+        self.established = False  # Remains True until the connection ends
         self.established_at_us = 0
-        self.live = False  # established, and not asked to migrate
-        self.load_us_per_second = 0.0  # 0 until a sample tells
-        #: Where an attempt is under way or the connection is established.
+        self.live = False  # Established and not being migrated
+        self.load_us_per_second = 0.0  # 0 until the first load sample
+        #: Server of the pending attempt or the established connection.
         self.server: Server | None = None
         self.attempts_started = 0
         self.tried_servers: list[Server] = []
         self.possibly_executed: PossibleExecution | None = None
-        self.candidates_polled = False  # reports of the servers it may join were requested
-        self.paced_start_us = 0  # when its next attempt may start, while connects are paced
-        self.permit: Permit | None = None  # for its attempt at a server in slow start
+        self.candidates_polled = False  # Reports of candidate servers were requested
+        self.paced_start_us = 0  # Earliest start of the next attempt while connects are paced
+        self.permit: Permit | None = None  # Permit of a pending attempt at a server in slow start
 
 
 class GroupIndex:
@@ -201,11 +201,11 @@
         self.servers_by_group: dict[int, Counter[Server]] = {}
 
     def add(self, connection: Connection, server: Server) -> None:
-        """Count a connection in."""
+        """Add a connection to the counts."""
         self._adjust(connection, server, 1)
 
     def remove(self, connection: Connection, server: Server) -> None:
-        """Count a connection out."""
+        """Remove a connection from the counts."""
         self._adjust(connection, server, -1)
 
     def _adjust(self, connection: Connection, server: Server, change: int) -> None:
--- a/limerudder/policy/reported_loads.py
+++ b/limerudder/policy/reported_loads.py
@@ -1,7 +1,7 @@
-"""Loads by the servers' reports: each server's load now, what one more connection adds, and the usual level.
+"""Loads from the servers' reports: each server's current load, the load per connection, and the load limits.
 
-Readings only: the balancer decides which server gets what. A load is a share of what a server can do at this
-moment, so that 1.0 is its capacity. Times are microseconds.
+Estimates only: the balancer decides which server gets which connection. A load is the share of a server's
+current capacity that is in demand, so 1.0 is its capacity. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -13,22 +13,20 @@
 from limerudder.policy.records import SECOND, Connection, Server
 from limerudder.policy.settings import Settings
 
-COMFORTABLE_LOAD = 0.7  #: up to this load a server answers in time, and need not be spared
-MAX_LOAD = 0.85  #: no new connection beyond this load, since loads swing after connections are placed
-ERROR_MARGIN_DEVIATIONS = 2  #: number of mean estimate errors that must fit between the limit and capacity
-MAX_PLAUSIBLE_LOAD = 1000  #: a report of this load or more is nonsense
-BACKLOG_WORK_OFF_US = 3 * SECOND // 2  #: time in which a server's backlog is to be worked off
-MAX_BACKLOG_US = 3 * SECOND  #: no server keeps more work than this
-MAX_BACKLOG_GROWTH_US = (
-    4 * SECOND
-)  #: a backlog is taken to have grown for no longer than this without a report
-REPORT_LIFETIME_INTERVALS = 3  #: number of report intervals after which a report no longer counts
-MIN_TELLING_LOAD = 0.1  #: mean load from which reports tell how many connections fill a server
-ERROR_MEAN_SWEEPS = 4  #: the mean estimate error is taken over about so many reports of each server
+COMFORTABLE_LOAD = 0.7  #: Load up to which a server answers in time and is not avoided
+MAX_LOAD = 0.85  #: Maximum load for new connections, since loads vary after connections are placed
+ERROR_MARGIN_DEVIATIONS = 2  #: Margin between the load limit and capacity, in mean estimate errors
+MAX_PLAUSIBLE_LOAD = 1000  #: Reported loads of this value or more are discarded as implausible
+BACKLOG_WORK_OFF_US = 3 * SECOND // 2  #: Time in which a server's backlog is to be worked off
+MAX_BACKLOG_US = 3 * SECOND  #: Maximum backlog: no server queues more work than this
+MAX_BACKLOG_GROWTH_US = 4 * SECOND  #: Maximum time without a report for which growth is assumed
+REPORT_LIFETIME_INTERVALS = 3  #: Number of report intervals after which a report expires
+MIN_SIGNIFICANT_LOAD = 0.1  #: Mean load from which reports show how many connections fill a server
+ERROR_MEAN_REPORTS = 4  #: Approximate number of reports of each server in the mean estimate error
 
 
 class ReportedLoads:
-    """The load reports that one node has received, and what it derives from them."""
+    """The load reports that one node has received, and the values derived from them."""
 
     def __init__(self, settings: Settings, report_interval_us: int) -> None:
         self._initial_capacity = settings.initial_capacity
@@ -36,26 +34,26 @@
         self._reports_connections = "inflight" in settings.report_fields
         self._mean_estimate_error = (1 - MAX_LOAD) / ERROR_MARGIN_DEVIATIONS
         self._mean_effective_size = 1.0
-        self._reporting_servers = dict[Server, None]()  # used as an ordered set
-        self.report_interval_us = report_interval_us  #: between two reports of a server
-        self.preferred_max_load = MAX_LOAD  #: above this a server is spared
-        self.max_load = MAX_LOAD  #: above this a server gets no new connection
-        self.load_per_connection = 0.0  #: what one connection adds to a server of the mean effective size
-        self.has_load_data = True  #: whether anything tells of loads
-        self.mean_reported_load = 1.0  #: by reports alone, over all servers that report
-        #: How many connections fill a warm server of weight 1, by reports; 0 while none has told.
+        self._reporting_servers = dict[Server, None]()  # Used as an ordered set
+        self.report_interval_us = report_interval_us  #: Interval between two reports of a server
+        self.preferred_max_load = MAX_LOAD  #: Load above which a server is avoided
+        self.max_load = MAX_LOAD  #: Load above which a server gets no new connection
+        self.load_per_connection = 0.0  #: Load added by one connection to a server of the mean effective size
+        self.has_load_data = True  #: Whether any data on loads is available
+        self.mean_reported_load = 1.0  #: Mean load of all reporting servers as of their reports
+        #: Connections that fill a warm server of weight 1, from reports; 0 while unknown.
         self.connections_per_weight = 0.0
 
     def record_report(
         self, server: Server, load: float, connections: float, server_count: int, now_us: int
     ) -> float:
-        """Record a server's report; return its load together with the backlog's.
+        """Record a server's report; return its load including that of its backlog.
 
-        `load`: what is asked of the server over what it can do; `connections`: how many it holds, of all
-        nodes; `server_count`: servers that are ready. For a load that cannot be true, nothing is recorded and
-        0.0 is returned.
+        `load`: demand on the server as a share of its capacity; `connections`: the server's connections from
+        all nodes; `server_count`: number of ready servers. An implausible load is not recorded, and 0.0 is
+        returned.
         """
-        if not 0 <= load < MAX_PLAUSIBLE_LOAD:  # this way round, NaN is out of range too
+        if not 0 <= load < MAX_PLAUSIBLE_LOAD:  # Also rejects NaN
             return 0.0
         if not 0 <= connections < math.inf:
             connections = 0
@@ -65,8 +63,8 @@
         if estimate is not None:
             self._record_estimate_error(load, estimate, server_count)
         self._update_backlog(server, load, now_us)
-        # One report may show a moment's low or high. Taken whole, all nodes would crowd the servers that are
-        # low for a moment.
+        # A single report may show a brief dip or peak. Without smoothing, all nodes would send their
+        # connections to the servers whose load is briefly low.
         server.load = load if estimate is None else (load + estimate) / 2
         server.load_at_us = now_us
         server.load_connection_count = server.connection_count
@@ -77,13 +75,13 @@
     def _record_estimate_error(self, load: float, estimate: float, server_count: int) -> None:
         error = abs(min(load, 1) - min(estimate, 1))
         change = error - self._mean_estimate_error
-        self._mean_estimate_error += change / (ERROR_MEAN_SWEEPS * max(server_count, 1))
+        self._mean_estimate_error += change / (ERROR_MEAN_REPORTS * max(server_count, 1))
 
     def _update_backlog(self, server: Server, load: float, now_us: int) -> None:
-        """Add what has piled up since the last report.
+        """Add the work that has accumulated since the last report.
 
-        A report tells what is asked of the server now, not what it still has to do from before. Until that is
-        worked off it answers nobody in time, and just below capacity working it off takes very long.
+        A report shows the current demand, not the unfinished work from before. Until the backlog is worked
+        off, the server answers no request in time; just below capacity this takes very long.
         """
         elapsed_us = 0
         if server.load is not None:
@@ -91,20 +89,20 @@
         server.backlog_us = min(max(server.backlog_us + (load - 1) * elapsed_us, 0), MAX_BACKLOG_US)
 
     def backlog_load(self, server: Server) -> float:
-        """The load that working off the server's backlog in `BACKLOG_WORK_OFF_US` takes."""
+        """Return the load of working off the server's backlog within `BACKLOG_WORK_OFF_US`."""
         return server.backlog_us / BACKLOG_WORK_OFF_US
 
     def record_connection_load(self, connection: Connection, load: float) -> None:
-        """Record the load that a connection has reported, in microseconds of work a second."""
+        """Record the load that a connection has reported, in microseconds of work per second."""
         connection.load_us_per_second = load
 
     def on_server_state_change(
         self, server: Server, ready_servers: Sequence[Server], ready_weight: float, now_us: int
     ) -> None:
-        """Spread the load of a server that has left over the servers that are ready.
+        """Distribute the load of a server that is no longer ready over the ready servers.
 
-        Its clients come again within a second or two, to every node, and no report shows them yet: each node
-        would fill what looks empty. The load of the tier as a whole stays the same.
+        Its clients reconnect through every node within one or two seconds, before any report shows them:
+        otherwise each node would fill servers that still appear idle. The tier's total load does not change.
         """
         if server.state == ServerState.READY:
             return
@@ -118,10 +116,10 @@
                 ready.load += leaving_work / total_size
 
     def update_levels(self, node_count: int, counts_own_only: bool, now_us: int) -> None:
-        """Set the load limits and what one connection adds, by the reports that still count.
+        """Set the load limits and the load per connection from the reports that have not expired.
 
-        `counts_own_only`: a new connection of this node counts once. Else, where all servers are asked at
-        intervals, it counts with as many as the other nodes add meanwhile.
+        `counts_own_only`: a new connection of this node counts once. Otherwise, where all servers are polled
+        at intervals, it also represents the connections that the other nodes add in the meantime.
         """
         servers = [server for server in self._reporting_servers if self._has_current_report(server, now_us)]
         self._reporting_servers = dict.fromkeys(servers)
@@ -142,8 +140,8 @@
     def _update_load_per_connection(
         self, servers: Sequence[Server], node_count: int, counts_own_only: bool, now_us: int
     ) -> None:
-        # The servers' own counts are better where they report them: a node just restarted holds next to
-        # nothing, and by its own count it would take each connection for dozens.
+        # Counts reported by the servers are preferred: a node that has just restarted has few connections,
+        # so from its own count it would overestimate the load of each one dozens of times.
         if self._reports_connections:
             all_connections = sum(server.reported_connections for server in servers)
         else:
@@ -156,18 +154,18 @@
         )
 
     def _update_connections_per_weight(self, servers: Sequence[Server], now_us: int) -> None:
-        """Connections over load does not depend on the traffic, so it holds amid a disturbance as well."""
+        """Update connections per load, which is independent of traffic and so valid in a disturbance too."""
         if not self._reports_connections:
             return
         warm = [s for s in servers if self.effective_size(s, now_us) >= s.weight]
         load = sum(server.load_report[0] * server.weight for server in warm)
-        if load >= MIN_TELLING_LOAD * len(warm) > 0:
+        if load >= MIN_SIGNIFICANT_LOAD * len(warm) > 0:
             self.connections_per_weight = sum(server.load_report[1] for server in warm) / load
 
     def estimate(self, server: Server, now_us: int) -> float | None:
-        """The server's load now: as last reported, with what this node has added or lost since.
+        """Return the server's load: as last reported, adjusted for this node's connections since then.
 
-        None where no report is recent enough: reports that have stopped must not shut a server out for good.
+        None if no report is recent enough: a server must not be excluded permanently when its reports stop.
         """
         if (
             server.load is None
@@ -179,14 +177,14 @@
         )
 
     def marginal_load(self, server: Server, now_us: int) -> float:
-        """What one more connection adds to this server's load.
+        """Return the load that one more connection adds to this server.
 
-        By the server's size, as sizes differ by five times and a server that is warming up can do a fifth:
-        with one figure for all, the small servers would be overloaded.
+        Scaled by the server's size: sizes differ by a factor of five, and a server that is warming up has a
+        fifth of its capacity. A single value for all would overload the small servers.
         """
         return self.load_per_connection * self._mean_effective_size / self.effective_size(server, now_us)
 
     def effective_size(self, server: Server, now_us: int) -> float:
-        """What the server can do at this moment, in the unit of the size that discovery lists."""
+        """Return the server's current capacity, in the unit of the size listed by discovery."""
         age = max(now_us - server.ready_since_us, 0) / self._warm_up_us if server.ready_since_us else 1.0
         return server.weight * min(1.0, self._initial_capacity + (1 - self._initial_capacity) * age)
--- a/limerudder/policy/server_registry.py
+++ b/limerudder/policy/server_registry.py
@@ -1,4 +1,4 @@
-"""The servers that discovery lists, and those among them that new connections may join."""
+"""The servers listed by discovery, and those among them that are ready for new connections."""
 
 from __future__ import annotations
 
@@ -12,41 +12,42 @@
 from limerudder.policy.slow_start import SlowStartBudget
 from limerudder.policy.timers import TimerToken
 
-MAX_WEIGHT = 100.0  #: a listed size beyond that, or below its inverse, is a mistake and cut off there
-#: A server that operators put back counts as returned for so long, or until it gets its first connection.
+#: Maximum size of a server. Sizes listed above it or below its inverse are errors and clamped.
+MAX_WEIGHT = 100.0
+#: Time for which a server returned to service is preferred, unless it gets a connection sooner.
 RETURNED_SERVER_LIFETIME_US = 4 * SECOND
 NEVER_US = 1 << 62
-RETURNED_SERVER_INTERVAL_US = SECOND // 2  #: between two connections that are migrated for its sake
+RETURNED_SERVER_INTERVAL_US = SECOND // 2  #: Interval between migrations in favor of returned servers
 
 StateListener = Callable[[Server], None]
 
 
 class ServerRegistry:
-    """Keeps the servers in the states in which discovery and operators have listed them."""
+    """Keeps the servers and their states, as set by discovery and operators."""
 
     def __init__(self, context: PolicyContext, slow_start: SlowStartBudget) -> None:
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []
-        self.ready_weight = 0.0  #: of all ready servers together
-        self._ready_version = 0  # counts the changes of the set of ready servers
+        self.ready_weight = 0.0  #: Total weight of the ready servers
+        self._ready_version = 0  # Number of changes to the set of ready servers
         self.ring = HashRing()
-        #: Servers that operators put back and that are not used yet, and until when that matters.
+        #: Servers returned to service by operators and not used since, with the end of their preference.
         self.returned: dict[Server, int] = {}
         self._settings = context.settings
         self._clock = context.clock
         self._actions = context.actions
         self._slow_start = slow_start
-        #: Servers in slow start, used as an ordered set; replaced by another one when it changes.
+        #: Servers in slow start, used as an ordered set; replaced on each change, never modified in place.
         self.warming_up: dict[Server, None] = {}
-        self._starting: dict[Server, None] = {}  # to be added to them when the update is through
-        self.first_warm_us = NEVER_US  #: when the first of them is warm
-        self._last_warm_us = 0  # when the last of them is
+        self._starting: dict[Server, None] = {}  # Added to `warming_up` after the update
+        self.first_warm_us = NEVER_US  #: Time at which the first server in slow start is warm
+        self._last_warm_us = 0  # Time at which the last server in slow start is warm
 
     def apply(self, update: EndpointUpdate, on_state_change: StateListener) -> None:
-        """Take over an update; `on_state_change` is called when a server becomes or ceases to be ready."""
+        """Apply an update; `on_state_change` is called when a server becomes ready or is no longer ready."""
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
             self._remove_unlisted({entry.server_id for entry in update.entries}, on_state_change)
-            self.ready_weight = sum(server.weight for server in self.ready)  # free of rounding errors again
+            self.ready_weight = sum(server.weight for server in self.ready)  # Removes rounding errors
         by_operator = update.kind == UpdateKind.OPERATOR
         for entry in update.entries:
             server = self._update_server(entry)
@@ -56,7 +57,7 @@
         self.update_slow_start()
 
     def get_or_create(self, server_id: int) -> Server:
-        """Return a server, which may not be listed yet."""
+        """Return a server; it is created if it is not listed yet."""
         server = self.servers.get(server_id)
         if server is None:
             server = Server(server_id)
@@ -64,7 +65,7 @@
         return server
 
     def update_slow_start(self) -> None:
-        """Tell the slow-start budget which ready servers are still warming up."""
+        """Update the servers in slow start and inform the slow-start budget's capacity reference."""
         now_us = self._clock.now_us
         warm_up_us = self._settings.warm_up_us
         if self._starting or now_us >= self.first_warm_us:
@@ -99,7 +100,7 @@
         server.zone = entry.zone
         server.cell = entry.cell
         server.ready_since_us = entry.ready_since_us
-        weight = min(MAX_WEIGHT, max(1 / MAX_WEIGHT, entry.weight))  # NaN becomes the smallest
+        weight = min(MAX_WEIGHT, max(1 / MAX_WEIGHT, entry.weight))  # NaN becomes the minimum
         if server.state == ServerState.READY:
             self.ready_weight += weight - server.weight
         server.weight = weight
--- a/limerudder/policy/settings.py
+++ b/limerudder/policy/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one node, as its connection policy uses them. Times are whole microseconds."""
+"""The settings of one node, as used by its connection policy. Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings that a node receives at start; the defaults are the cautious choice."""
+    """The settings that a node receives at start; the defaults are conservative."""
 
     node_count: int
     zone: int
