--- a/limerudder/policy/settings_reader.py
+++ b/limerudder/policy/settings_reader.py
@@ -1,7 +1,7 @@
-"""Reads a node's settings, given as path=value pairs, into Settings.
+"""Converts a node's settings from path=value pairs to Settings.
 
-The simulator's protocol writes the pairs so; the nested JSON of a real node is flattened into the same pairs
-first. The value "null" stands for a key that is not given.
+The simulator's protocol sends such pairs; the nested JSON of a real node is first flattened to the same form.
+The value "null" means that the key is absent.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class SettingsError(ValueError):
-    """Settings that lack a key or hold a value that cannot be read."""
+    """A required key of the settings is missing, or a value is invalid."""
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
     """Flatten nested JSON into path=value pairs.
 
-    A list of plain values becomes one value with commas; a list that holds objects or lists becomes a `count`
-    and the numbered items.
+    A list of scalars becomes one comma-separated value; a list that contains objects or lists becomes a
+    `count` and the numbered items.
     """
     prefix = f"{path}." if path else ""
     if isinstance(value, Mapping):
@@ -57,7 +57,7 @@
 
 
 def read_settings(given: Mapping[str, str]) -> Settings:
-    """Read the pairs; unknown keys are ignored. Raises SettingsError."""
+    """Convert the pairs to Settings; unknown keys are ignored. Raises SettingsError."""
     pairs = _Pairs(given)
     classes = _read_classes(pairs)
     report_fields = pairs.optional("loadInfo.fields", "", str)
@@ -92,8 +92,8 @@
         report_via=pairs.optional("loadInfo.via", "none", str),
         tenant_quotas=pairs.optional("domain.tenantQuotaConnections", (), _parse_floats),
         over_quota_weight=pairs.optional("overShareWorth", 1.0, float),
-        prices=pairs.floats_below("prices."),
-        result_weights=pairs.floats_below("resultMix."),
+        prices=pairs.floats_with_prefix("prices."),
+        result_weights=pairs.floats_with_prefix("resultMix."),
     )
 
 
@@ -119,7 +119,7 @@
 
 
 class _Pairs:
-    """The pairs that are given, with the errors that reading them may raise."""
+    """Typed access to the pairs; raises SettingsError for missing keys and invalid values."""
 
     def __init__(self, given: Mapping[str, str]) -> None:
         self._pairs = {key: value for key, value in given.items() if value != NULL}
@@ -135,8 +135,8 @@
     def optional(self, key: str, default: T, parse: Callable[[str], T]) -> T:
         return self._parse(key, parse) if key in self._pairs else default
 
-    def floats_below(self, prefix: str) -> dict[str, float]:
-        """The numbers under all keys that begin with a prefix, by the rest of the key."""
+    def floats_with_prefix(self, prefix: str) -> dict[str, float]:
+        """Return the numbers of all keys with a prefix, by the rest of the key."""
         keys = [key for key in self._pairs if key.startswith(prefix)]
         return {key.removeprefix(prefix): self._parse(key, float) for key in keys}
 
@@ -145,7 +145,7 @@
         try:
             return parse(text)
         except ValueError as exc:
-            raise SettingsError(f"settings: {key}={text} is not readable") from exc
+            raise SettingsError(f"settings: invalid value: {key}={text}") from exc
 
 
 def _parse_flag(text: str) -> bool:
@@ -155,5 +155,5 @@
 
 
 def _parse_floats(text: str) -> tuple[float, ...]:
-    """Parse numbers with commas between them; a number that is not given is without bound."""
+    """Parse comma-separated numbers; "null" means no limit (infinity)."""
     return tuple(math.inf if part == NULL else float(part) for part in text.split(",") if part)
--- a/limerudder/simulator/adapter.py
+++ b/limerudder/simulator/adapter.py
@@ -1,6 +1,6 @@
 """Runs the connection policy in the simulator: one Balancer for each instance, on standard input and output.
 
-The instances share this process and nothing else: each has its own settings, state and random source.
+The instances share only this process: each has its own settings, state and random source.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 EXIT_MALFORMED_INPUT = 2
 
 
-class InstanceHost:
-    """The simulator's instances, each with its Balancer."""
+class InstanceRunner:
+    """Runs the simulator's instances, each with its Balancer."""
 
     def __init__(self) -> None:
         self._balancers: dict[int, Balancer] = {}
@@ -57,20 +57,20 @@
         try:
             for action in balancer.handle(event, now_us):
                 records.append(encode(instance, action))
-        except Exception as exc:  # the protocol wants a faulty policy named, not a dead process
+        except Exception as exc:  # The protocol requires an error record, not a crash
             records.append(encode(instance, PolicyError(f"{type(exc).__name__}: {exc}")))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batch after batch until the input ends. Raises ProtocolError."""
-    host = InstanceHost()
+    """Answer batches until the end of the input. Raises ProtocolError."""
+    runner = InstanceRunner()
     while header := _read_header(source):
         body_size, now_us, number = BATCH_HEADER.unpack(header)
         if body_size > MAX_FRAME_BYTES:
-            raise ProtocolError(f"batch {number} claims {body_size} bytes, more than {MAX_FRAME_BYTES}")
+            raise ProtocolError(f"batch {number}: body of {body_size} bytes exceeds {MAX_FRAME_BYTES}")
         body = _read_exactly(source, body_size, "batch")
         try:
-            records = host.handle_batch(body, now_us)
+            records = runner.handle_batch(body, now_us)
         except ProtocolError as exc:
             raise ProtocolError(f"batch {number}: {exc}") from exc
         reply = b"".join(records)
@@ -79,7 +79,7 @@
 
 
 def _read_header(source: BinaryIO) -> bytes:
-    """Return the header of the next batch, or nothing where the input ends."""
+    """Return the header of the next batch, or empty bytes at the end of the input."""
     data = source.read(BATCH_HEADER.size)
     if data:
         _check_size(data, BATCH_HEADER.size, "header")
@@ -94,12 +94,12 @@
 
 def _check_size(data: bytes, size: int, part: str) -> None:
     if len(data) < size:
-        raise ProtocolError(f"the input ends inside a {part}: {len(data)} of {size} bytes")
+        raise ProtocolError(f"input truncated in a {part}: got {len(data)} of {size} bytes")
 
 
 def main() -> int:
     """Serve standard input; report malformed input in one line on standard error."""
-    gc.disable()  # no reference cycles are made per event, and a collector's pauses would count as a node's
+    gc.disable()  # Events create no reference cycles, and pauses of the collector would count as the node's
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as exc:
--- a/limerudder/simulator/decoding.py
+++ b/limerudder/simulator/decoding.py
@@ -1,6 +1,6 @@
 """Decodes the simulator's frames into events of the connection policy.
 
-Nothing is guessed: what does not fit the layout raises ProtocolError with its place in the frame.
+Data that does not match the layout raises ProtocolError with its position in the frame.
 """
 
 from __future__ import annotations
@@ -47,8 +47,8 @@
 def decode(body: bytes, server_lists: dict[int, list[ServerEntry]]) -> Iterator[tuple[int, SimulatorEvent]]:
     """Yield (instance, event) in the order of the frame.
 
-    `server_lists` are the process's server lists by number; new ones are added. A number may stand for
-    another list later in the same frame, so each is resolved as it is met. Raises ProtocolError.
+    `server_lists` are the process's server lists by number; new ones are added. A number may be reused for
+    another list within a frame, so each is resolved when it is read. Raises ProtocolError.
     """
     reader = _FrameReader(body, server_lists)
     end = len(body)
@@ -59,7 +59,7 @@
 
 
 def parse_settings(data: bytes) -> Settings:
-    """Read the settings of an attach record; unknown keys are ignored. Raises ProtocolError."""
+    """Parse the settings of an attach record; unknown keys are ignored. Raises ProtocolError."""
     try:
         text = data.decode()
     except UnicodeDecodeError as exc:
@@ -72,20 +72,20 @@
 
 
 class _FrameReader:
-    """Reads the records of one frame, one after the other.
+    """Reads the records of one frame in order.
 
-    The `read_` methods for single records take the record's fixed fields, of which the first is the instance,
-    and read what follows these. What does not fit raises ProtocolError or, past the end, struct.error.
+    The `read_` methods for single records accept the record's fixed fields, the first of which is the
+    instance, and read the rest. Invalid data raises ProtocolError or, past the end, struct.error.
     """
 
     def __init__(self, body: bytes, server_lists: dict[int, list[ServerEntry]]) -> None:
-        self.position = 0  # of the next byte to read
+        self.position = 0  # Position of the next byte to read
         self._body = body
         self._record_start = 0
         self._server_lists = server_lists
 
     def read_record(self) -> tuple[int, SimulatorEvent | None]:
-        """Read a record; return its instance and its event, None for a record that is no event."""
+        """Read a record; return its instance and its event, or None for a record without an event."""
         start = self.position
         self._record_start = start
         code = self._body[start]
@@ -105,7 +105,7 @@
             self.position = start + CODE_BYTES + layout.size
             return instance, read_event(self, instance, *fields)
         except struct.error as exc:
-            raise ProtocolError(f"{name} at byte {start} is cut short: {exc}") from exc
+            raise ProtocolError(f"{name} at byte {start} is truncated: {exc}") from exc
 
     def read_attach(self, _instance: int, seed: int, size: int) -> InstanceStarted:
         return InstanceStarted(seed, parse_settings(self._read_bytes(size, "attach")))
@@ -130,7 +130,7 @@
         return PeerMessage(sender, self._read_bytes(size, "message"))
 
     def read_directory(self, list_number: int, entry_count: int) -> None:
-        """Read a server list. It belongs to no instance: the number of the list stands in that place."""
+        """Read a server list. It belongs to no instance: the list number replaces the instance number."""
         size = entry_count * SERVER_ENTRY.size
         data = self._read_bytes(size, f"directory of {entry_count} entries")
         self._server_lists[list_number] = [ServerEntry(*entry) for entry in SERVER_ENTRY.iter_unpack(data)]
@@ -147,7 +147,7 @@
             return EndpointUpdate(kind, version, ())
         if list_number not in self._server_lists:
             raise ProtocolError(
-                f"sync at byte {self._record_start} names list {list_number}, which was never sent"
+                f"sync at byte {self._record_start} refers to list {list_number}, which was not sent"
             )
         return EndpointUpdate(kind, version, self._server_lists[list_number])
 
@@ -161,7 +161,7 @@
     def _read_bytes(self, size: int, what: str) -> bytes:
         end = self.position + size
         if end > len(self._body):
-            raise ProtocolError(f"{what} at byte {self._record_start} runs past the frame")
+            raise ProtocolError(f"{what} at byte {self._record_start} extends past the end of the frame")
         data = self._body[self.position : end]
         self.position = end
         return data
@@ -170,7 +170,7 @@
 def _make_sample(
     request: int, server: int, value: float, attempt: int, kind: int
 ) -> LoadSample | LatencySample | None:
-    """A sample of a known kind; None for kinds that the policy has no use for."""
+    """Return a sample of a supported kind; None for kinds that the policy does not use."""
     sample_type = SAMPLE_TYPES.get(kind)
     return sample_type(request, server, value, attempt) if sample_type else None
 
@@ -188,7 +188,7 @@
 
     name: str
     layout: Struct
-    read_event: Callable[..., SimulatorEvent | None]  # a method of _FrameReader
+    read_event: Callable[..., SimulatorEvent | None]  # A method of _FrameReader
 
 
 _FIXED_RECORDS: dict[int, _FixedRecord] = {
--- a/limerudder/simulator/encoding.py
+++ b/limerudder/simulator/encoding.py
@@ -23,10 +23,10 @@
 )
 from limerudder.simulator.protocol import ActionCode
 
-MAX_MESSAGE_BYTES = 256  #: of a message to a peer; the rest is cut off
-MAX_TEXT_BYTES = 4000  #: of a log message or an error; the rest is cut off
-MESSAGE_HEADER = Struct("<BHIH")  #: code, instance, peer, size of the message in bytes
-TEXT_HEADER = Struct("<BHH")  #: code, instance, size of the text in bytes
+MAX_MESSAGE_BYTES = 256  #: Maximum size of a message to a peer; longer messages are truncated
+MAX_TEXT_BYTES = 4000  #: Maximum size of a log message or an error; longer texts are truncated
+MESSAGE_HEADER = Struct("<BHIH")  #: Code, instance, peer, size of the message in bytes
+TEXT_HEADER = Struct("<BHH")  #: Code, instance, size of the text in bytes
 
 
 class _FixedRecord(NamedTuple):
--- a/limerudder/simulator/protocol.py
+++ b/limerudder/simulator/protocol.py
@@ -1,4 +1,4 @@
-"""What both directions of the simulator's protocol share: frame headers, record codes, errors.
+"""Common definitions for both directions of the simulator's protocol: frame headers, record codes, errors.
 
 The simulator sends frames of event records, called batches; the adapter answers each with a frame of action
 records. All numbers are little-endian, times are microseconds.
@@ -13,9 +13,9 @@
 from limerudder.policy.events import Event
 from limerudder.policy.settings import Settings
 
-BATCH_HEADER = Struct("<IQI")  #: size of the body in bytes, clock, number of the batch
-REPLY_HEADER = Struct("<III")  #: size of the body in bytes, number of records, number of the batch
-#: The largest frame read. Batches may be megabytes long; more than this is a broken length field.
+BATCH_HEADER = Struct("<IQI")  #: Size of the body in bytes, clock, number of the batch
+REPLY_HEADER = Struct("<III")  #: Size of the body in bytes, number of records, number of the batch
+#: Maximum frame size. Batches may be several megabytes; a larger size indicates a corrupt length field.
 MAX_FRAME_BYTES = 1 << 28
 
 
@@ -60,7 +60,7 @@
 
 
 class InstanceStarted(NamedTuple):
-    """An instance starts; the one event that creates a Balancer."""
+    """An instance has started; the only event that creates a Balancer."""
 
     seed: int
     settings: Settings
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as the simulator starts it: batches in, replies out."""
+"""Tests of the adapter as the simulator runs it: batches as input, replies as output."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_a_session_from_attach_to_end_of_input() -> None:
-    restart = bytes.fromhex("0b 0300") + START  # killed and attached again in one batch
+    restart = bytes.fromhex("0b 0300") + START  # Killed and attached again in one batch
     process = run(
         batch(1)
         + batch(2, START)
@@ -73,9 +73,9 @@
     [
         (batch(7, b"\x63\x03\x00"), "batch 7: unknown event code 99"),
         (batch(7, bytes.fromhex(REQUEST)), "batch 7: NewRequest for instance 3, which is not attached"),
-        (batch(7, START)[:-4], "ends inside a batch"),
-        (batch(7)[:9], "ends inside a header"),
-        (struct.pack("<IQI", 0xFFFFFFFF, 0, 7), "claims 4294967295 bytes"),
+        (batch(7, START)[:-4], "input truncated in a batch"),
+        (batch(7)[:9], "input truncated in a header"),
+        (struct.pack("<IQI", 0xFFFFFFFF, 0, 7), "body of 4294967295 bytes exceeds"),
         (batch(7, attach(3, SETTINGS.replace("zone=1", ""))), "lack the key zone"),
     ],
 )
@@ -96,14 +96,14 @@
     assert replies(sink.getvalue())[0][2] == bytes.fromhex("49 0300 1800") + b"IndexError: out of range"
 
 
-def test_instances_in_one_process_act_as_each_does_alone() -> None:
+def test_instances_in_one_process_behave_as_each_does_alone() -> None:
     def session(*instances: int) -> list[bytes]:
         first = b"".join(
             attach(i) + bytes.fromhex(LIST + SYNC.replace("0300", f"{i:02x}00", 1)) for i in instances
         )
-        asks = [bytes.fromhex(REQUEST.replace("0300", f"{i:02x}00", 1)) for i in instances]
+        requests = [bytes.fromhex(REQUEST.replace("0300", f"{i:02x}00", 1)) for i in instances]
         sink = std_io.BytesIO()
-        adapter.serve(std_io.BytesIO(batch(1, first) + batch(2, *asks)), sink)
+        adapter.serve(std_io.BytesIO(batch(1, first) + batch(2, *requests)), sink)
         return [body for _, _, body in replies(sink.getvalue())]
 
     both, one, two = session(3, 4), session(3), session(4)
