--- a/tests/test_hash_ring.py
+++ b/tests/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The hash ring: the same for the same members, however they came."""
+"""Tests of the hash ring, which depends on its members only, not on the order of changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return ring
 
 
-def test_members_that_come_and_go_between_walks_leave_the_ring_of_those_that_stay() -> None:
+def test_changes_between_walks_leave_the_ring_of_the_remaining_members() -> None:
     rng = Random(1)
     ring = HashRing()
     weights: dict[int, float] = {}
@@ -30,7 +30,7 @@
             assert list(ring.walk(step)) == list(ring_of(weights).walk(step))
 
 
-def test_a_walk_goes_on_over_the_members_that_it_began_with() -> None:
+def test_a_walk_in_progress_continues_over_its_original_members() -> None:
     ring = ring_of(dict.fromkeys(range(10), 1.0))
     walk = ring.walk(1)
     first = next(walk)
--- a/tests/test_load_inference.py
+++ b/tests/test_load_inference.py
@@ -1,6 +1,6 @@
-"""Loads inferred where nothing is reported: capacity, costly connections, recovery from waves of resets.
+"""Tests of inferred loads: capacity, costly connections, recovery from bursts of resets.
 
-Loads are in microseconds of work a second.
+Loads are in microseconds of work per second.
 """
 
 from __future__ import annotations
@@ -52,13 +52,13 @@
 NO_REPORTS_NOR_LATENCY = replace(NO_REPORTS, reports_latency=False)
 MEAN_LOAD = 30_000.0
 CLIENT_COUNT = 200
-HOST_SIZES = [1.6, 1.0, 0.7] * 2
+SERVER_SIZES = [1.6, 1.0, 0.7] * 2
 
 
 def make_fleet(
     seed: int, load: float, settings: Settings = NO_REPORTS, resets: bool = False
 ) -> OverloadFleet:
-    """Three nodes, hosts of three sizes, and clients that ask for `load` of all hosts' capacity."""
+    """Three nodes, servers of three sizes, and clients with a total load of `load` times all capacity."""
     rng = Random(seed)
     clients = [
         SimulatedClient(
@@ -69,8 +69,8 @@
         )
         for index in range(CLIENT_COUNT)
     ]
-    capacity_unit = len(clients) * MEAN_LOAD / load / sum(HOST_SIZES)
-    capacities = [size * capacity_unit for size in HOST_SIZES]
+    capacity_unit = len(clients) * MEAN_LOAD / load / sum(SERVER_SIZES)
+    capacities = [size * capacity_unit for size in SERVER_SIZES]
     fleet = OverloadFleet(replace(settings, node_count=3), capacities, clients, seed, resets)
     for index, client in enumerate(clients):
         fleet.schedule(index / 100, partial(fleet.connect, client))
@@ -107,7 +107,7 @@
 
 
 class ResetCounts(NamedTuple):
-    """What happened while all nodes were replaced, over several seeds."""
+    """Resets and attempts while all nodes are restarted, over several seeds."""
 
     resets: int
     resets_afterwards: int
@@ -115,9 +115,9 @@
 
 
 def count_resets_while_nodes_restart(settings: Settings) -> ResetCounts:
-    """Replace all nodes while hosts reset their newest connections, and no message latency is sampled.
+    """Restart all nodes while servers reset their newest connections and no message latency is sampled.
 
-    Resets and attempts afterwards are those of the 17 s after the last restart.
+    Resets and attempts afterwards are those in the 17 s after the last restart.
     """
     resets = 0
     resets_afterwards = 0
@@ -137,15 +137,15 @@
     return ResetCounts(resets, resets_afterwards, attempts_afterwards)
 
 
-def test_hosts_reset_fewer_connections_through_restarts_where_own_load_is_counted() -> None:
+def test_servers_reset_fewer_connections_during_restarts_where_own_load_is_counted() -> None:
     inferring = count_resets_while_nodes_restart(NO_REPORTS)
     not_inferring = count_resets_while_nodes_restart(NO_REPORTS_NOR_LATENCY)
     assert inferring.resets < 0.6 * not_inferring.resets
     assert inferring.resets_afterwards < 0.6 * not_inferring.resets_afterwards
-    assert inferring.attempts_afterwards < 200, "of 800 clients in all"
+    assert inferring.attempts_afterwards < 200, "out of 800 clients in total"
 
 
-def test_a_host_that_resets_two_connections_within_a_second_gets_none_until_that_decays() -> None:
+def test_a_server_that_resets_two_connections_within_a_second_gets_none_until_its_load_decays() -> None:
     loads, server = make_inferred_server()
     loads.record_reset(server, 20 * SECOND)
     assert loads.has_room(server, TARGET_LOAD, None, 20 * SECOND), "a single reset may be chance"
@@ -155,18 +155,18 @@
     assert loads.has_room(server, TARGET_LOAD, None, 27 * SECOND)
 
 
-def test_an_estimate_makes_a_full_host_the_last_choice_but_rejects_nobody() -> None:
+def test_an_estimate_makes_a_full_server_the_last_choice_but_rejects_no_client() -> None:
     driver = Driver(replace(NO_REPORTS, tenant_quotas=(math.inf, 100.0)), servers=server_entries(2))
     for _ in range(90):
         request_id = driver.add_connection(1, group=5)
         driver.deliver(LoadSample(request_id, 1, MEAN_LOAD, 0))
-    assert driver.server_of(driver.connect(group=5)) == 2, "although the other server holds the group"
+    assert driver.server_of(driver.connect(group=5)) == 2, "although the group is at the other server"
     for _ in range(40):
         driver.connect()
     assert not driver.actions_of_type(RejectRequest)
 
 
-def test_a_connection_established_slowly_keeps_others_from_its_host_for_a_second() -> None:
+def test_a_server_that_establishes_a_connection_slowly_is_avoided_for_a_second() -> None:
     driver = Driver(NO_REPORTS, servers=server_entries(2))
     request_id = driver.request()
     slow_server = driver.server_of(request_id)
@@ -179,10 +179,10 @@
 
 
 @pytest.mark.parametrize("quotas", [(200.0,), ()])
-def test_clients_migrate_to_the_local_zone_only_once_message_latency_and_quotas_tell_the_load(
+def test_clients_migrate_to_the_local_zone_only_with_message_latency_and_quotas(
     quotas: tuple[float, ...],
 ) -> None:
-    """The driver also checks that no server gets a health check, for the settings do not allow any."""
+    """The driver also checks that no server gets a health check, which the settings do not allow."""
     settings = replace(NO_REPORTS, prices={"crossZone": 0.13, "moves": 0.01}, tenant_quotas=quotas)
     driver = Driver(settings, servers=[server_entry(1), server_entry(2, zone=1)])
     for _ in range(8):
@@ -193,7 +193,7 @@
     driver.deliver(LatencySample(1, 2, 30.0, 0))
     driver.run(20 * SECOND)
     migrates = bool(driver.actions_of_type(MigrateClient))
-    assert migrates == bool(quotas), "without quotas a host's capacity is unknown"
+    assert migrates == bool(quotas), "without quotas a server's capacity is unknown"
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
     [(NO_REPORTS, 3), (FREE_HEALTH_CHECKS, 1)],
     ids=["without reports", "with reports"],
 )
-def test_one_error_starts_pacing_except_in_a_young_process_without_reports(
+def test_one_error_starts_pacing_except_in_a_new_process_without_reports(
     settings: Settings, errors_until_paced: int
 ) -> None:
     driver = Driver(settings, servers=server_entries(8))
@@ -236,22 +236,22 @@
 
 
 def new_connection(request_id: int, client_key: int, flags: int = 0, now_us: int = SECOND) -> Connection:
-    """A request that has not been sent to any server."""
+    """A request without an attempt so far."""
     event = NewRequest(request_id, 0, 0, client_key, SECOND, 0, 0, flags)
     return Connection(event, NO_REPORTS.classes[0], now_us)
 
 
 def record_rising_latency(loads: InferredLoads, server: Server) -> float:
-    """Record a latency that rises by a quarter of a second a second, which means a load of 1.25.
+    """Record a latency that rises by 0.25 s per second, which corresponds to a load of 1.25.
 
-    Returns the load of this node's that has to leave the server.
+    Returns how much of this node's load has to leave the server.
     """
     loads.record_message_latency(server, 100_000, 10 * SECOND)
     loads.remember_own_load(server)
     return loads.record_message_latency(server, 350_000, 11 * SECOND)
 
 
-def test_the_slope_of_message_latency_tells_the_load_and_how_much_has_to_leave() -> None:
+def test_the_slope_of_message_latency_gives_the_load_and_the_excess() -> None:
     loads, server = make_inferred_server()
     excess = record_rising_latency(loads, server)
     expected_load = 1.25 * loads.capacity(server, 11 * SECOND)
@@ -265,7 +265,7 @@
     loads, server = make_inferred_server()
     record_rising_latency(loads, server)
     remaining = list(server.connections.items())[:10]
-    server.connections = dict(remaining)  # the node's other connections have ended
+    server.connections = dict(remaining)  # The node's other connections have ended
     total_loads = [loads.total_load(server, (11 + seconds) * SECOND) for seconds in range(8)]
     assert total_loads == sorted(total_loads, reverse=True)
     assert total_loads[7] == pytest.approx(loads.own_load(server))
@@ -286,7 +286,7 @@
 
 
 def test_the_number_of_costly_clients_remembered_is_bounded() -> None:
-    """Each client's first report is of the mean load, so that the mean stays far below the costly load."""
+    """Each client first reports the mean load, so that the mean remains far below the costly load."""
     loads, _ = make_inferred_server()
     costly_load = 99 * COSTLY_FACTOR * MEAN_LOAD
     for index in range(2 * MAX_COSTLY_KEYS):
--- a/tests/test_server_registry.py
+++ b/tests/test_server_registry.py
@@ -21,18 +21,18 @@
 )
 
 
-def test_a_draining_server_gets_no_attempts_from_then_on() -> None:
+def test_a_draining_server_gets_no_further_attempts() -> None:
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     driver.update_endpoints([server_entry(1, ServerState.DRAINING)])
     assert {driver.server_of(driver.connect()) for _ in range(20)} == {2}
     driver.update_endpoints([server_entry(2)], UpdateKind.FULL)
     driver.update_endpoints([server_entry(1, ServerState.READY)])
     selected = {driver.server_of(driver.connect()) for _ in range(20)}
-    assert 1 in selected, "used again once it is back under the same id"
+    assert 1 in selected, "a server that is ready again under the same id is used again"
 
 
 def test_the_connections_of_a_draining_server_are_migrated_gradually_before_it_stops() -> None:
-    """58 connections were closed by servers that drained and then stopped."""
+    """Connections must leave before the drained server stops and closes them; 58 were lost this way."""
     driver, connections = driver_with_loaded_server()
     driver.update_endpoints([server_entry(1, ServerState.DRAINING)])
     migrations = []
@@ -43,7 +43,7 @@
 
 
 def test_a_large_list_replaced_at_once_is_warmed_up_within_its_budgets() -> None:
-    """One of a thousand nodes: no attempt at old servers, few at cold ones, and all served once warm."""
+    """One of a thousand nodes: no attempts at old servers, few at cold ones, and all served once warm."""
     settings = replace(BASE_SETTINGS, node_count=1000, allows_health_checks=False)
     driver = Driver(settings, servers=server_entries(150))
     for group in range(40):
@@ -59,7 +59,7 @@
     assert len(driver.balancer.registry.ready) == 150
     establish_pending_attempts(driver)
     new_attempts = driver.actions_of_type(StartAttempt)[attempts_before:]
-    assert len(new_attempts) < 10, "limited by the slow start budgets of one of a thousand nodes"
+    assert len(new_attempts) < 10, "limited by the slow-start budgets of one of a thousand nodes"
     for _ in range(4 * settings.warm_up_us // SECOND):
         driver.run(SECOND // 4)
         establish_pending_attempts(driver)
@@ -67,7 +67,7 @@
 
 
 def establish_pending_attempts(driver: Driver) -> None:
-    """Establish the attempts that are under way now, without those that this makes possible."""
+    """Establish the currently pending attempts, without those that start as a result."""
     for request_id in driver.pending_requests():
         driver.establish(request_id)
 
@@ -90,7 +90,7 @@
     driver.connect(group=7)
 
 
-def test_the_weight_of_the_ready_servers_is_the_sum_whatever_came_and_went() -> None:
+def test_the_ready_weight_is_the_sum_over_the_ready_servers_after_any_updates() -> None:
     driver = Driver(BASE_SETTINGS, servers=server_entries(20))
     registry = driver.balancer.registry
     rng = Random(2)
@@ -101,7 +101,7 @@
         assert registry.ready_weight == pytest.approx(sum(server.weight for server in registry.ready))
 
 
-def test_servers_in_slow_start_are_those_that_started_less_than_the_warm_up_ago() -> None:
+def test_servers_in_slow_start_are_those_that_started_within_the_warm_up_time() -> None:
     driver = Driver(BASE_SETTINGS, servers=server_entries(3))
     registry = driver.balancer.registry
     warm_up_us = BASE_SETTINGS.warm_up_us
