--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -14,7 +14,7 @@
 from limerudder.policy.outlier_detection import OutlierDetector
 from limerudder.policy.pacing import PACED_RATE_FACTOR
 from limerudder.policy.records import SECOND, Connection, Server, TokenBucket
-from limerudder.policy.reported_loads import COMFORTABLE_LOAD, ReportedLoads
+from limerudder.policy.reported_loads import PREFERRED_LOAD, ReportedLoads
 from limerudder.policy.traffic_rates import TrafficRates
 
 MAX_LOAD_BEFORE_RELIEF = 0.9  #: beyond its capacity a server answers nothing in time
@@ -98,7 +98,7 @@
             if connection.live and connection.server
         ]
         if 2 * sum(healthy) >= len(healthy) - 1:
-            self._relieve(server, 1 - COMFORTABLE_LOAD)
+            self._relieve(server, 1 - PREFERRED_LOAD)
 
     def _relieve(self, server: Server, excess_share: float, gossips: bool = False) -> None:
         """Migrate the costliest connections, up to this share of what this node's ask of the server.
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -12,7 +12,7 @@
 from limerudder.policy.load_polling import REPORT_WAIT_US, LoadPoller
 from limerudder.policy.pacing import PACED_RATE_FACTOR, ConnectPacer
 from limerudder.policy.records import SECOND, Connection, Server
-from limerudder.policy.reported_loads import COMFORTABLE_LOAD, ReportedLoads
+from limerudder.policy.reported_loads import PREFERRED_LOAD, ReportedLoads
 from limerudder.policy.selection import CHOICES, ServerSelector
 from limerudder.policy.server_registry import RETURNED_SERVER_INTERVAL_US, ServerRegistry
 from limerudder.policy.timers import TimerToken
@@ -163,7 +163,7 @@
         many clients had no room for a burst.
         """
         current_load = self._estimate(connection.server) if connection.server else None
-        return min(COMFORTABLE_LOAD, max(self._loads.mean_reported_load, current_load or 0))
+        return min(PREFERRED_LOAD, max(self._loads.mean_reported_load, current_load or 0))
 
     def _migration_probability(self, servers: list[Server], level: float, interval_us: int) -> float:
         """Return this node's part of the room at these servers.
--- a/limerudder/policy/reported_loads.py
+++ b/limerudder/policy/reported_loads.py
@@ -13,7 +13,7 @@
 from limerudder.policy.records import SECOND, Connection, Server
 from limerudder.policy.settings import Settings
 
-COMFORTABLE_LOAD = 0.7  #: Load up to which a server answers in time and is not avoided
+PREFERRED_LOAD = 0.7  #: Load up to which a server answers in time and is not avoided
 MAX_LOAD = 0.85  #: Maximum load for new connections, since loads vary after connections are placed
 ERROR_MARGIN_DEVIATIONS = 2  #: Margin between the load limit and capacity, in mean estimate errors
 MAX_PLAUSIBLE_LOAD = 1000  #: Reported loads of this value or more are discarded as implausible
@@ -132,7 +132,7 @@
         self._update_connections_per_weight(servers, now_us)
         mean_estimate = sum(self.estimate(server, now_us) or 0 for server in servers) / len(servers)
         self.max_load = min(MAX_LOAD, 1 - ERROR_MARGIN_DEVIATIONS * self._mean_estimate_error)
-        self.preferred_max_load = min(max(COMFORTABLE_LOAD, mean_estimate), self.max_load)
+        self.preferred_max_load = min(max(PREFERRED_LOAD, mean_estimate), self.max_load)
 
     def _has_current_report(self, server: Server, now_us: int) -> bool:
         return self.estimate(server, now_us) is not None and server.state == ServerState.READY
@@ -149,9 +149,7 @@
         counted_connections = all_connections if counts_own_only else all_connections / node_count
         work = sum((server.load or 0) * self.effective_size(server, now_us) for server in servers)
         load = work / self._mean_effective_size
-        self.load_per_connection = min(
-            load / (counted_connections + len(servers)), MAX_LOAD - COMFORTABLE_LOAD
-        )
+        self.load_per_connection = min(load / (counted_connections + len(servers)), MAX_LOAD - PREFERRED_LOAD)
 
     def _update_connections_per_weight(self, servers: Sequence[Server], now_us: int) -> None:
         """Update connections per load, which is independent of traffic and so valid in a disturbance too."""
--- a/limerudder/policy/selection.py
+++ b/limerudder/policy/selection.py
@@ -21,7 +21,7 @@
 from limerudder.policy.load_shedding import REPORTED_LOAD_ONLY, LoadShedding
 from limerudder.policy.outlier_detection import OutlierDetector
 from limerudder.policy.records import Connection, Server
-from limerudder.policy.reported_loads import COMFORTABLE_LOAD, ReportedLoads
+from limerudder.policy.reported_loads import PREFERRED_LOAD, ReportedLoads
 from limerudder.policy.server_registry import ServerRegistry
 
 CHOICES = 2  #: the paper's d: two choices already bring the doubly exponential fall in blocking
@@ -125,7 +125,7 @@
         """
         loads = self.loads
         if self.load_shedding.exceeds_quota(connection):
-            levels = [min(loads.preferred_max_load, COMFORTABLE_LOAD)]
+            levels = [min(loads.preferred_max_load, PREFERRED_LOAD)]
         else:
             levels = [loads.preferred_max_load, loads.max_load]
         if self.poller.on_demand:
@@ -179,7 +179,7 @@
         """Whether a reconnecting client may take the room that it just had, by the servers' reports alone."""
         return (
             connection.is_reconnect
-            and self.loads.mean_reported_load <= COMFORTABLE_LOAD
+            and self.loads.mean_reported_load <= PREFERRED_LOAD
             and not self.draining.clients_may_reconnect()
         )
 
@@ -190,7 +190,7 @@
         """
         if self._has_healthy_server():
             return None
-        level = 1.0 if self.poller.on_demand else COMFORTABLE_LOAD
+        level = 1.0 if self.poller.on_demand else PREFERRED_LOAD
         return self._choose(connection, self.sample(self.registry.ready), level, ignore_health=True)
 
     def _has_healthy_server(self) -> bool:
