--- a/harness/faulty_calls.py
+++ b/harness/faulty_calls.py
@@ -1,6 +1,6 @@
-"""Node processes whose wall clock is stepped or whose system calls fail, by a preloaded library.
+"""Steps the wall clock of node processes or makes their system calls fail, using a preloaded library.
 
-The library is compiled from `shims/faulty_calls.c`; its environment variables are described there.
+The library is compiled from `shims/faulty_calls.c`, which documents its environment variables.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def compile_faulty_calls(folder: Path) -> Path:
-    """Compile the library into a folder and return its path."""
+    """Compile the library into a folder and return the library's path."""
     library = folder / LIBRARY_NAME
     command = ["cc", "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl", "-lpthread"]
     subprocess.run(command, check=True)
@@ -21,16 +21,16 @@
 
 
 def stepped_clock(library: Path, step_ms: int) -> dict[str, str]:
-    """Return the environment of a process whose wall clock is ahead by so much."""
+    """Return the environment of a process whose wall clock is ahead by `step_ms`."""
     return {"LD_PRELOAD": str(library), "FAULTS_CLOCK_STEP_MS": str(step_ms)}
 
 
 def failing_calls(
     library: Path, calls: str, one_in: int, seed: int, after_ms: int = 0, until_ms: int = 0
 ) -> dict[str, str]:
-    """Return the environment of a process in which one in so many of these calls fails.
+    """Return the environment of a process in which one in `one_in` of these calls fails.
 
-    `after_ms`, `until_ms`: since the process began; `until_ms` 0: without end.
+    Calls fail between `after_ms` and `until_ms` after the start of the process; `until_ms` 0 means no end.
     """
     return {
         "LD_PRELOAD": str(library),
--- a/harness/shims/faulty_calls.c
+++ b/harness/shims/faulty_calls.c
@@ -1,14 +1,15 @@
 /*
- * Preloaded into a node under test: a stepped wall clock, and system calls that fail as Linux documents.
+ * Library to preload into a node under test: steps the wall clock and injects errors that Linux documents
+ * into system calls.
  *
- *   FAULTS_CLOCK_STEP_MS   how far CLOCK_REALTIME is ahead of the true time; CLOCK_MONOTONIC stays as it is
- *   FAULTS_SEED            of the sequence that decides which calls fail
- *   FAULTS_ONE_IN          one call in so many fails, of the calls that FAULTS_CALLS names
+ *   FAULTS_CLOCK_STEP_MS   offset of CLOCK_REALTIME from the true time; CLOCK_MONOTONIC is unaffected
+ *   FAULTS_SEED            seed of the sequence that decides which calls fail
+ *   FAULTS_ONE_IN          one in this number of the calls listed in FAULTS_CALLS fails
  *   FAULTS_CALLS           comma-separated: accept=ENFILE+EMFILE,connect=EADDRNOTAVAIL,socket=ENFILE,
  *                          read=EINTR,write=EINTR+SHORT,wait=EINTR; SHORT cuts a write to one byte;
- *                          bind, listen, dup, poller (epoll_create1, eventfd) and sendto likewise
- *   FAULTS_AFTER_MS        the process's first calls, for so long, do not fail
- *   FAULTS_UNTIL_MS        calls after this time do not fail; 0: no end
+ *                          also bind, listen, dup, poller (epoll_create1, eventfd) and sendto
+ *   FAULTS_AFTER_MS        no calls fail in this time after the start of the process
+ *   FAULTS_UNTIL_MS        no calls fail later than this after the start of the process; 0: no limit
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -92,10 +93,10 @@
 static void add_error(enum call call, const char *name, size_t length)
 {
     for (size_t i = 0; i < sizeof ERROR_NAMES / sizeof *ERROR_NAMES; i++) {
-        const struct error_name *known = &ERROR_NAMES[i];
-        if (strlen(known->name) == length && !strncmp(known->name, name, length)
+        const struct error_name *error = &ERROR_NAMES[i];
+        if (strlen(error->name) == length && !strncmp(error->name, name, length)
             && error_count[call] < MAX_ERRORS)
-            errors[call][error_count[call]++] = known->number;
+            errors[call][error_count[call]++] = error->number;
     }
 }
 
@@ -124,13 +125,13 @@
     }
 }
 
-static long long number_of(const char *variable)
+static long long env_number(const char *variable)
 {
     const char *text = getenv(variable);
     return text ? atoll(text) : 0;
 }
 
-__attribute__((constructor)) static void set_up(void)
+__attribute__((constructor)) static void initialize(void)
 {
     real_clock_gettime = dlsym(RTLD_NEXT, "clock_gettime");
     real_accept4 = dlsym(RTLD_NEXT, "accept4");
@@ -151,12 +152,12 @@
     real_eventfd = dlsym(RTLD_NEXT, "eventfd");
     real_sendto = dlsym(RTLD_NEXT, "sendto");
     real_sendmsg = dlsym(RTLD_NEXT, "sendmsg");
-    clock_step_ns = number_of("FAULTS_CLOCK_STEP_MS") * 1000000LL;
-    random_state = (uint64_t)number_of("FAULTS_SEED") * 2862933555777941757ULL + 3037000493ULL;
-    one_in = (unsigned long)number_of("FAULTS_ONE_IN");
-    faults_from_ns = monotonic_ns() + number_of("FAULTS_AFTER_MS") * 1000000LL;
-    if (number_of("FAULTS_UNTIL_MS"))
-        faults_until_ns = monotonic_ns() + number_of("FAULTS_UNTIL_MS") * 1000000LL;
+    clock_step_ns = env_number("FAULTS_CLOCK_STEP_MS") * 1000000LL;
+    random_state = (uint64_t)env_number("FAULTS_SEED") * 2862933555777941757ULL + 3037000493ULL;
+    one_in = (unsigned long)env_number("FAULTS_ONE_IN");
+    faults_from_ns = monotonic_ns() + env_number("FAULTS_AFTER_MS") * 1000000LL;
+    if (env_number("FAULTS_UNTIL_MS"))
+        faults_until_ns = monotonic_ns() + env_number("FAULTS_UNTIL_MS") * 1000000LL;
     parse_calls(getenv("FAULTS_CALLS"));
 }
 
@@ -166,7 +167,7 @@
     return (unsigned long)(random_state >> 33);
 }
 
-/* Returns the error with which this call fails, 0 if it does not. */
+/* Returns the error to inject into this call, or 0. */
 static int fault(enum call call)
 {
     int error = 0;
@@ -219,7 +220,7 @@
     return now.tv_sec;
 }
 
-#define FAIL_IF_DUE(call)                                                                                    \
+#define FAIL_IF_INJECTED(call)                                                                               \
     do {                                                                                                     \
         int error = fault(call);                                                                             \
         if (error > 0) {                                                                                     \
@@ -230,38 +231,38 @@
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
 {
-    FAIL_IF_DUE(ACCEPT);
+    FAIL_IF_INJECTED(ACCEPT);
     return real_accept4(descriptor, address, length, flags);
 }
 
 int accept(int descriptor, struct sockaddr *address, socklen_t *length)
 {
-    FAIL_IF_DUE(ACCEPT);
+    FAIL_IF_INJECTED(ACCEPT);
     return real_accept(descriptor, address, length);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length)
 {
-    FAIL_IF_DUE(CONNECT);
+    FAIL_IF_INJECTED(CONNECT);
     return real_connect(descriptor, address, length);
 }
 
 int socket(int domain, int type, int protocol)
 {
-    FAIL_IF_DUE(SOCKET);
+    FAIL_IF_INJECTED(SOCKET);
     return real_socket(domain, type, protocol);
 }
 
 ssize_t read(int descriptor, void *data, size_t length)
 {
     if (is_socket(descriptor))
-        FAIL_IF_DUE(READ);
+        FAIL_IF_INJECTED(READ);
     return real_read(descriptor, data, length);
 }
 
 ssize_t recv(int descriptor, void *data, size_t length, int flags)
 {
-    FAIL_IF_DUE(READ);
+    FAIL_IF_INJECTED(READ);
     return real_recv(descriptor, data, length, flags);
 }
 
@@ -307,25 +308,25 @@
 
 int epoll_pwait(int descriptor, struct epoll_event *events, int count, int timeout, const sigset_t *signals)
 {
-    FAIL_IF_DUE(WAIT);
+    FAIL_IF_INJECTED(WAIT);
     return real_epoll_pwait(descriptor, events, count, timeout, signals);
 }
 
 int epoll_wait(int descriptor, struct epoll_event *events, int count, int timeout)
 {
-    FAIL_IF_DUE(WAIT);
+    FAIL_IF_INJECTED(WAIT);
     return real_epoll_wait(descriptor, events, count, timeout);
 }
 
 int bind(int descriptor, const struct sockaddr *address, socklen_t length)
 {
-    FAIL_IF_DUE(BIND);
+    FAIL_IF_INJECTED(BIND);
     return real_bind(descriptor, address, length);
 }
 
 int listen(int descriptor, int backlog)
 {
-    FAIL_IF_DUE(LISTEN);
+    FAIL_IF_INJECTED(LISTEN);
     return real_listen(descriptor, backlog);
 }
 
@@ -336,32 +337,32 @@
     void *argument = va_arg(arguments, void *);
     va_end(arguments);
     if (command == F_DUPFD_CLOEXEC)
-        FAIL_IF_DUE(DUP);
+        FAIL_IF_INJECTED(DUP);
     return real_fcntl(descriptor, command, argument);
 }
 
 int epoll_create1(int flags)
 {
-    FAIL_IF_DUE(POLLER);
+    FAIL_IF_INJECTED(POLLER);
     return real_epoll_create1(flags);
 }
 
 int eventfd(unsigned int count, int flags)
 {
-    FAIL_IF_DUE(POLLER);
+    FAIL_IF_INJECTED(POLLER);
     return real_eventfd(count, flags);
 }
 
 ssize_t sendto(int descriptor, const void *data, size_t length, int flags, const struct sockaddr *address,
                socklen_t address_length)
 {
-    FAIL_IF_DUE(SENDTO);
+    FAIL_IF_INJECTED(SENDTO);
     return real_sendto(descriptor, data, length, flags, address, address_length);
 }
 
 ssize_t sendmsg(int descriptor, const struct msghdr *message, int flags)
 {
     if (message->msg_name)
-        FAIL_IF_DUE(SENDTO);
+        FAIL_IF_INJECTED(SENDTO);
     return real_sendmsg(descriptor, message, flags);
 }
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -1,4 +1,4 @@
-"""A real node whose system calls fail for a moment, as Linux documents: every client gets its answer."""
+"""Tests that a real node answers every client while system calls fail with errors that Linux documents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 SCENARIO_TIMEOUT_SECONDS = 60
 ONE_IN = 7
 SEED = 33
-START_MS = 1000  #: the node's start is not disturbed
+START_MS = 1000  #: No calls fail during the node's start
 
 CALLS = {
     "accept, descriptors": "accept=ENFILE+EMFILE",
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("calls", CALLS.values(), ids=list(CALLS))
 def test_clients_of_a_node_whose_calls_fail_get_their_answers(tmp_path: Path, calls: str) -> None:
-    """Guards against clients that were closed unanswered with EMFILE or ENFILE at accept."""
+    """Guards against closing clients unanswered when accept() fails with EMFILE or ENFILE."""
 
     async def run() -> None:
         tier = MultiProcessTier(tmp_path, 1, 3, with_store=False)
