--- a/harness/overload_fleet.py
+++ b/harness/overload_fleet.py
@@ -1,8 +1,7 @@
-"""Simulates several policies on one clock beside overloaded hosts that report no loads.
+"""Simulates several policies on one clock with overloaded hosts that send no load reports.
 
-A host works off what its connections ask of it. What it cannot do piles up, messages wait behind this
-backlog, and some hosts reset their newest connections while the backlog is long. Clients that are migrated
-or reset reconnect.
+Work that exceeds a host's capacity accumulates in a backlog, which delays messages; some hosts reset their
+newest connections while the backlog is long. Clients reconnect after a migration or a reset.
 """
 
 from __future__ import annotations
@@ -41,21 +40,21 @@
 from limerudder.policy.settings import Settings
 
 SECOND = 1_000_000
-STEP = SECOND // 10  #: between two updates of the backlogs, in microseconds
-GROUP_LOAD_US_PER_SECOND = 30_000.0  #: work that each group shares, once at each of its hosts
+STEP = SECOND // 10  #: Interval of the backlog updates, in microseconds
+GROUP_LOAD_US_PER_SECOND = 30_000.0  #: Work for each group at each of its hosts, shared by its clients there
 CONNECT_SECONDS = 0.02
-RESET_BACKLOG_SECONDS = 2.0  #: backlog at which hosts reset their newest connections
-RESET_FRACTION = 10  #: one in so many connections is reset
-REPORTED_BACKLOG_SECONDS = 0.02  #: shorter backlogs show in no latency sample
-RECONNECT_SECONDS = (0.1, 2.0)  #: after a node has restarted
-MIGRATION_SECONDS = 0.3  #: until a migrated client reconnects, on average
-RESET_SECONDS = 0.5  #: until a client reconnects whose connection was reset, on average
+RESET_BACKLOG_SECONDS = 2.0  #: Backlog above which hosts reset their newest connections
+RESET_FRACTION = 10  #: One in this number of connections is reset
+REPORTED_BACKLOG_SECONDS = 0.02  #: Shorter backlogs cause no latency samples
+RECONNECT_SECONDS = (0.1, 2.0)  #: Range of the delay after a restart of a node
+MIGRATION_SECONDS = 0.3  #: Typical delay before a migrated client reconnects
+RESET_SECONDS = 0.5  #: Typical delay before a client reconnects after a reset
 MAX_REJECTION_BACKOFF_SECONDS = 5
 
 
 @dataclass
 class SimulatedHost:
-    """One host: capacity and loads in microseconds of work a second."""
+    """One host; capacity and loads are in microseconds of work per second."""
 
     id: int
     capacity: float
@@ -63,7 +62,7 @@
     clients: list[SimulatedClient] = field(default_factory=list)
 
     def relative_load(self) -> float:
-        """Return the load as a share of the capacity, each group's shared work once."""
+        """Return the load as a share of the capacity; each group's shared work counts once."""
         groups = {client.group for client in self.clients}
         client_load = sum(client.load for client in self.clients)
         return (client_load + GROUP_LOAD_US_PER_SECOND * len(groups)) / self.capacity
@@ -81,11 +80,11 @@
     node: int = -1
     request: int = 0
     host: SimulatedHost | None = None
-    rejections: int = 0  # since its last attempt
+    rejections: int = 0  # rejections since the last attempt
 
 
 class OverloadFleet:
-    """Nodes, hosts and clients; `served` is the served share of the priority weights at each STEP."""
+    """Nodes, hosts and clients; `served` is the served share of the priority weights in each step."""
 
     def __init__(
         self,
@@ -101,7 +100,7 @@
         self.resets_connections = resets_connections
         self.hosts = {n + 1: SimulatedHost(n + 1, capacity) for n, capacity in enumerate(capacities)}
         self.clients = clients
-        self.requests: dict[tuple[int, int], SimulatedClient] = {}  # by node and request id
+        self.requests: dict[tuple[int, int], SimulatedClient] = {}  # clients by node and request id
         self.served: list[float] = []
         self.attempts = 0
         self.resets = 0
@@ -113,20 +112,20 @@
             self.nodes.append(self._start_node(node))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the simulation for `seconds`."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             while self._scheduled and self._scheduled[0][0] <= self.now:
                 _, _, task = heapq.heappop(self._scheduled)
                 task()
-            self._work_off()
+            self._update_backlogs()
             samples_latency = self.settings.reports_latency and not self.resets_connections
             if self.now % SECOND == 0 and samples_latency:
                 self._sample_latencies()
             self.now += STEP
 
     def restart(self, node: int) -> None:
-        """End a node's process and start another in its place; all its clients reconnect to any node."""
+        """Replace a node's process by a new one; all its clients reconnect to random nodes."""
         clients = [client for (client_node, _), client in self.requests.items() if client_node == node]
         self.nodes[node] = self._start_node(node)
         for client in clients:
@@ -134,12 +133,12 @@
             self.schedule(self.rng.uniform(*RECONNECT_SECONDS), partial(self.connect, client))
 
     def schedule(self, seconds: float, task: Callable[[], None]) -> None:
-        """Run a task after this time."""
+        """Run a task after `seconds`."""
         due_at = self.now + int(seconds * SECOND)
         heapq.heappush(self._scheduled, (due_at, next(self._schedule_order), task))
 
     def connect(self, client: SimulatedClient) -> None:
-        """Let a client ask for a connection at any node."""
+        """Send a client's request for a connection to a random node."""
         client.node = self.rng.randrange(len(self.nodes))
         client.request = next(self._request_ids)
         self.requests[client.node, client.request] = client
@@ -151,7 +150,7 @@
         self._deliver(client.node, request)
 
     def _start_node(self, node: int) -> Balancer:
-        """Start a process that knows the endpoint list alone."""
+        """Start a process whose only state is the endpoint list."""
         balancer = Balancer(self.settings, Random(self.rng.random()))
         entries = [ServerEntry(host, 0, 0, 0, ServerState.READY, 1.0, 0) for host in self.hosts]
         self._deliver_to(node, balancer, EndpointUpdate(UpdateKind.CACHED, 1, entries))
@@ -169,9 +168,9 @@
 
     def _deliver_to(self, node: int, balancer: Balancer, event: Event) -> None:
         for action in balancer.handle(event, self.now):
-            self._carry_out(node, balancer, action)
+            self._execute(node, balancer, action)
 
-    def _carry_out(self, node: int, balancer: Balancer, action: Action) -> None:
+    def _execute(self, node: int, balancer: Balancer, action: Action) -> None:
         if isinstance(action, SetTimer):
             wait_seconds = max(action.due_at_us - self.now, 0) / SECOND
             self.schedule(wait_seconds, partial(self._fire_timer, node, balancer, action.token))
@@ -197,12 +196,12 @@
         self.schedule(CONNECT_SECONDS, partial(self._establish, client.node, client, client.request))
 
     def _fire_timer(self, node: int, balancer: Balancer, token: int) -> None:
-        """Deliver a timer, unless its process has ended."""
+        """Deliver a timer unless its process has been replaced."""
         if self.nodes[node] is balancer:
             self._deliver(node, TimerFired(token))
 
     def _establish(self, node: int, client: SimulatedClient, request: int) -> None:
-        """Establish a connection, which then tells its load."""
+        """Establish a connection and deliver a sample of its load."""
         if client.request != request or not client.host:
             return
         connect_us = int(CONNECT_SECONDS * SECOND)
@@ -213,7 +212,7 @@
     def _end_connection(
         self, client: SimulatedClient, outcome: AttemptOutcome, reconnect_seconds: float
     ) -> None:
-        """End an established connection; its client reconnects after about this time."""
+        """End an established connection; its client reconnects after about `reconnect_seconds`."""
         host = client.host
         assert host is not None
         ended = AttemptEnded(client.request, 0, host.id, int(outcome), 0, 1, ())
@@ -222,8 +221,8 @@
         self.schedule(reconnect_seconds * self.rng.uniform(0.5, 2), partial(self.connect, client))
         self.schedule(0, lambda: self._deliver(node, ended))
 
-    def _work_off(self) -> None:
-        """Update the backlogs; a client is served while the backlog is below its message objective."""
+    def _update_backlogs(self) -> None:
+        """Update the backlogs; clients are served while the backlog is below their message objective."""
         classes = self.settings.classes
         served_weight = 0.0
         for host in self.hosts.values():
@@ -245,7 +244,7 @@
             self._end_connection(client, AttemptOutcome.RESET, RESET_SECONDS)
 
     def _sample_latencies(self) -> None:
-        """Tell each node how long messages take at slow hosts, by one of its connections there."""
+        """Deliver a latency sample of each slow host to each node, from one of its connections there."""
         for host in self.hosts.values():
             for node in range(len(self.nodes)):
                 clients = [client for client in host.clients if client.node == node]
--- a/harness/slow_start_faults.py
+++ b/harness/slow_start_faults.py
@@ -1,7 +1,7 @@
-"""Faults for the fleet simulation of slow start: what servers, nodes, clocks and clients go through.
+"""Faults of servers, nodes, clocks and clients for the fleet simulation of slow start.
 
-Each fault is a function of a fleet that has served for a while; it lets time pass until the servers that it
-restarts have been in slow start long enough to judge.
+Each fault is a function that takes a warm fleet. It runs the simulation until the servers that it restarts
+have been in slow start for long enough to check the limits.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 Fault = Callable[[SlowStartFleet], None]
 
-ROLL_STEPS = 10
-ROLL_STEP_SECONDS = 2.5
+RESTART_STEPS = 10
+RESTART_STEP_SECONDS = 2.5
 REPLACEMENT_SECONDS = 7.0
 HOUR_US = 3600 * SECOND
 SETTLING_SECONDS = 12.0
-QUIET_SECONDS = 10.0
+LOW_RATE_SECONDS = 10.0
 LOW_RATE_FACTOR = 0.05
 
 
 def rolling_restart(fleet: SlowStartFleet) -> None:
-    """Half of the servers and all nodes restart step by step, a tenth of each at a time."""
+    """Half of the servers and all nodes restart in steps, a tenth of each at a time."""
     servers = list(fleet.ready_since)
     servers = servers[: len(servers) // 2]
     nodes = list(range(len(fleet.nodes)))
-    for step in range(ROLL_STEPS):
-        fleet.restart_servers(servers[step::ROLL_STEPS])
-        fleet.restart_nodes(nodes[step::ROLL_STEPS])
-        fleet.run(ROLL_STEP_SECONDS)
+    for step in range(RESTART_STEPS):
+        fleet.restart_servers(servers[step::RESTART_STEPS])
+        fleet.restart_nodes(nodes[step::RESTART_STEPS])
+        fleet.run(RESTART_STEP_SECONDS)
     fleet.run(SETTLING_SECONDS)
 
 
@@ -44,21 +44,21 @@
 
 
 def clocks_ahead(fleet: SlowStartFleet) -> None:
-    """A quarter of the servers and a third of the nodes restart, these with clocks an hour ahead."""
+    """A quarter of the servers and a third of the nodes restart, the nodes with clocks an hour ahead."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     fleet.restart_nodes(list(range(0, len(fleet.nodes), 3)), clock_step_us=HOUR_US)
     fleet.run(SETTLING_SECONDS)
 
 
 def clocks_behind(fleet: SlowStartFleet) -> None:
-    """The same with clocks an hour behind."""
+    """The same restarts, the nodes with clocks an hour behind."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     fleet.restart_nodes(list(range(0, len(fleet.nodes), 3)), clock_step_us=-HOUR_US)
     fleet.run(SETTLING_SECONDS)
 
 
 def clocks_apart_by_seconds(fleet: SlowStartFleet) -> None:
-    """A quarter of the servers restart, and all nodes with clocks up to ten seconds wrong."""
+    """A quarter of the servers restart, and all nodes with clock errors of up to ten seconds."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     for node in range(len(fleet.nodes)):
         fleet.restart_nodes([node], clock_step_us=int(fleet.rng.uniform(-10, 10) * SECOND))
@@ -66,24 +66,24 @@
 
 
 def correct_clocks(fleet: SlowStartFleet) -> None:
-    """The same restarts with clocks that are right."""
+    """A quarter of the servers and a third of the nodes restart with correct clocks."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     fleet.restart_nodes(list(range(0, len(fleet.nodes), 3)))
     fleet.run(SETTLING_SECONDS)
 
 
 def crowd_after_quiet(fleet: SlowStartFleet) -> None:
-    """Servers restart while there is next to no traffic; then it comes at three times the usual rate."""
+    """A third of the servers restart during very low traffic; a spike at triple the usual rate follows."""
     usual = fleet.rate_factor
     fleet.rate_factor = LOW_RATE_FACTOR
     fleet.restart_servers(list(fleet.ready_since)[::3])
-    fleet.run(QUIET_SECONDS)
+    fleet.run(LOW_RATE_SECONDS)
     fleet.rate_factor = 3 * usual
     fleet.run(SETTLING_SECONDS)
 
 
 def most_nodes_die(fleet: SlowStartFleet) -> None:
-    """Seven in ten nodes restart at once, and a third of the servers with them."""
+    """Seven in ten nodes and a third of the servers restart at once."""
     nodes = list(range(len(fleet.nodes)))
     fleet.restart_nodes([node for node in nodes if node % 10 < 7])
     fleet.restart_servers(list(fleet.ready_since)[::3])
@@ -91,7 +91,7 @@
 
 
 def nodes_restart_over_and_over(fleet: SlowStartFleet) -> None:
-    """A third of the servers restart; meanwhile each node restarts every two seconds, one after the other."""
+    """A third of the servers restart; meanwhile all nodes restart in batches every two seconds."""
     fleet.restart_servers(list(fleet.ready_since)[::3])
     node_count = len(fleet.nodes)
     for _ in range(6):
--- a/harness/slow_start_fleet.py
+++ b/harness/slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""Simulates many policies on one clock beside servers in slow start: what all together send to each server.
+"""Simulates many policies on one clock with servers in slow start, and counts the attempts at each server.
 
-Requests at a node are a Poisson process with the node's own rate; a connection is established after a fixed
-time and lasts for a random one. Nothing is reported and the nodes do not talk to each other: each policy
-knows its own traffic and the endpoint list, no more.
+Requests at a node are a Poisson process with a rate per node; a connection is established after a fixed time
+and has a random lifetime. There are no load reports and no peer messages: each policy has only its own
+traffic and the endpoint list.
 """
 
 from __future__ import annotations
@@ -42,32 +42,32 @@
 
 SECOND = 1_000_000
 MICROSECONDS_PER_MILLISECOND = 1000
-START_US = 100_000 * SECOND  #: large, so that clocks may be hours behind
+START_US = 100_000 * SECOND  #: Large enough for clocks that are hours behind
 CONNECT_US = 20_000
 RECONNECT_SECONDS = (0.1, 1.0)
-CHANCE_DEVIATIONS = 2.0  #: standard deviations by which attempts may exceed a budget by chance
-SMALL_BUDGET = 30  #: calls in a window; the operators allow a smaller budget more for chance
+CHANCE_DEVIATIONS = 2.0  #: Standard deviations by which attempts may exceed a budget
+SMALL_BUDGET = 30  #: Calls per window; the operators allow a larger random excess for smaller budgets
 
 
 def allowed_calls(budget: float) -> float:
-    """Return the most calls that a server in slow start may get in a window, by the operators' term."""
+    """Return the operators' limit of calls to a server in slow start in one window."""
     if budget < SMALL_BUDGET:
         return budget + 3 * sqrt(budget) + 3
     return budget + 2 * sqrt(budget) + 2
 
 
 class Excess(NamedTuple):
-    """How far the fullest windows of servers in slow start lie above what is allowed."""
+    """By how much calls to servers in slow start exceed the limit."""
 
-    worst: float  #: calls in the fullest window over those allowed there
-    windows: int  #: windows with more calls than allowed
+    worst: float  #: Maximum ratio of calls to the limit in a window
+    windows: int  #: Number of windows with more calls than allowed
 
 
 class SlowStartFleet:
     """Nodes and servers.
 
-    `rates`: new connections a second at each node; `load`: what servers carry of all they can do;
-    `lifetime`: mean life of a connection in seconds.
+    `rates` are new connections per second at each node, `load` is the utilization of the servers, and
+    `lifetime` is the mean lifetime of a connection in seconds.
     """
 
     def __init__(
@@ -83,27 +83,27 @@
         self.rates = rates
         self.lifetime = lifetime
         self.rng = Random(seed)
-        self.clock_steps_us = [0] * len(rates)  #: how far each node's clock is ahead of the true time
+        self.clock_steps_us = [0] * len(rates)  #: By how much each node's clock is ahead
         self.now = START_US
-        self.rate_factor = 1.0  #: by which the nodes' rates have grown
-        #: New connections a second that fill a warm server.
+        self.rate_factor = 1.0  #: Multiplier of the nodes' rates
+        #: New connections per second that fully load a warm server.
         self.server_capacity = sum(rates) / server_count / load
         self.ready_since = dict.fromkeys(range(1, server_count + 1), 0)
         self.attempts: dict[int, list[int]] = {server: [] for server in self.ready_since}  # start times
         self.requests = 0
         self.rejections = 0
-        self._connections: dict[tuple[int, int], int] = {}  # node and request: server
+        self._connections: dict[tuple[int, int], int] = {}  # server by node and request id
         self._scheduled: list[tuple[int, int, Callable[[], None]]] = []
         self._schedule_order = count()
         self._request_ids = count(1)
         self.nodes: list[Balancer] = []
-        self._start_times: list[StartTimes] = [StartTimes() for _ in rates]  # of each node's process
+        self._start_times: list[StartTimes] = [StartTimes() for _ in rates]  # one per node process
         for node in range(len(rates)):
             self.nodes.append(self._start_node(node))
             self._schedule_next_request(node)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the simulation for `seconds`."""
         until = self.now + int(seconds * SECOND)
         while self._scheduled and self._scheduled[0][0] <= until:
             self.now, _, task = heapq.heappop(self._scheduled)
@@ -111,7 +111,7 @@
         self.now = until
 
     def restart_servers(self, servers: list[int]) -> None:
-        """Restart servers: all nodes learn it at once, and the clients connected there reconnect."""
+        """Restart servers: all nodes are notified at once, and the clients connected there reconnect."""
         for server in servers:
             self.ready_since[server] = self.now
             self.attempts[server] = []
@@ -124,7 +124,7 @@
             self._deliver(node, EndpointUpdate(UpdateKind.DELTA, 2, self._entries(node, servers)))
 
     def restart_nodes(self, nodes: list[int], clock_step_us: int = 0) -> None:
-        """Restart nodes without memory, their clocks this far ahead; their clients reconnect to any node."""
+        """Restart nodes without state and with stepped clocks; their clients reconnect to random nodes."""
         for node in nodes:
             for key in [key for key in self._connections if key[0] == node]:
                 del self._connections[key]
@@ -133,7 +133,7 @@
             self.nodes[node] = self._start_node(node)
 
     def excess(self) -> Excess:
-        """Return how the calls at servers in slow start compare with the operators' term, in all windows."""
+        """Compare the calls to servers in slow start with the operators' limit, in all windows."""
         worst = 0.0
         windows = 0
         for calls, budget in self._slow_start_windows():
@@ -143,10 +143,11 @@
         return Excess(worst, windows)
 
     def worst_excess(self, deviations: float = CHANCE_DEVIATIONS) -> float:
-        """Return the fullest window of any server in slow start: its attempts over those that are allowed.
+        """Return the maximum ratio of attempts to the allowed number in a window of a server in slow start.
 
-        The budget N is `overload_factor` times what the server can do when the window begins, times the
-        window. `deviations` roots of N and two more may come besides by chance. Over 1 a server would fall.
+        The budget N is `overload_factor` times the server's capacity at the beginning of the window, times
+        the window. To allow for chance, the limit adds 2 plus `deviations` times the square root of N. A
+        ratio above 1 would overload the server.
         """
         worst = 0.0
         for calls, budget in self._slow_start_windows():
@@ -154,7 +155,7 @@
         return worst
 
     def _slow_start_windows(self) -> Iterator[tuple[int, float]]:
-        """Yield the calls in each window that a call ends, and the budget when its first call came."""
+        """Yield the calls in each window that ends with a call, and the budget at its first call."""
         settings = self.settings
         for server, started in self.attempts.items():
             window_start = 0
@@ -166,14 +167,14 @@
                     yield position - window_start + 1, self._budget(age)
 
     def _budget(self, age: float) -> float:
-        """Return the attempts that a server may get in a window that begins at this share of its warm-up."""
+        """Return the attempts allowed in a window that begins at this share of a server's warm-up."""
         settings = self.settings
         capacity_share = settings.initial_capacity + (1 - settings.initial_capacity) * age
         rate = settings.overload_factor * capacity_share * self.server_capacity
         return rate * settings.overload_window_us / SECOND
 
     def _start_node(self, node: int) -> Balancer:
-        """Start a process without memory, which has the endpoint list alone."""
+        """Start a process whose only state is the endpoint list."""
         settings = replace(self.settings, node_index=node)
         balancer = Balancer(settings, Random(self.rng.random()))
         self._start_times[node] = StartTimes()
@@ -182,7 +183,7 @@
         return balancer
 
     def _entries(self, node: int, servers: Collection[int]) -> list[ServerEntry]:
-        """Return these servers as discovery lists them, their starts by the node's clock."""
+        """Return the endpoint list's entries of these servers, with start times on the node's clock."""
         starts = [
             ListedStart(str(server), since // MICROSECONDS_PER_MILLISECOND)
             for server, since in self.ready_since.items()
@@ -208,7 +209,7 @@
         self._schedule_next_request(node)
 
     def _schedule_reconnect(self) -> None:
-        """Let a client that was connected ask any node for a connection, within a second."""
+        """Schedule a reconnect of a disconnected client to a random node, within a second."""
         node = self.rng.choices(range(len(self.nodes)), self.rates)[0]
         wait_seconds = self.rng.uniform(*RECONNECT_SECONDS)
         self._schedule(wait_seconds, partial(self._request, node, FLAG_RECONNECT))
@@ -223,9 +224,9 @@
 
     def _deliver_to(self, node: int, balancer: Balancer, event: Event) -> None:
         for action in balancer.handle(event, self.now + self.clock_steps_us[node]):
-            self._carry_out(node, balancer, action)
+            self._execute(node, balancer, action)
 
-    def _carry_out(self, node: int, balancer: Balancer, action: Action) -> None:
+    def _execute(self, node: int, balancer: Balancer, action: Action) -> None:
         if isinstance(action, SetTimer):
             wait_us = action.due_at_us - self.now - self.clock_steps_us[node]
             wait_seconds = max(wait_us, 0) / SECOND
@@ -238,12 +239,12 @@
             self.rejections += 1
 
     def _fire_timer(self, node: int, balancer: Balancer, token: int) -> None:
-        """Deliver a timer, unless its process has ended."""
+        """Deliver a timer unless its process has been replaced."""
         if self.nodes[node] is balancer:
             self._deliver(node, TimerFired(token))
 
     def _establish(self, node: int, request: int) -> None:
-        """Establish a connection, and schedule its end."""
+        """Establish a connection and schedule its end."""
         server = self._connections.get((node, request))
         if server is None:
             return
@@ -251,7 +252,7 @@
         self._schedule(self.rng.expovariate(1 / self.lifetime), partial(self._end, node, request))
 
     def _end(self, node: int, request: int) -> None:
-        """End a connection by its client's wish."""
+        """End a connection that its client closes."""
         server = self._connections.pop((node, request), None)
         if server is not None:
             self._deliver(node, AttemptEnded(request, 0, server, AttemptOutcome.OK, CONNECT_US, 1, ()))
--- a/harness/slow_start_plays.py
+++ b/harness/slow_start_plays.py
@@ -1,4 +1,4 @@
-"""Plays of one fault in one simulated fleet, which may run in processes of their own."""
+"""Runs one fault in one simulated fleet; cases and outcomes can be passed between processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Play(NamedTuple):
-    """A fault in a fleet, by their names."""
+    """A fault in a fleet, both given by name."""
 
     setup: str
     fault: str
@@ -20,7 +20,7 @@
 
 
 class Outcome(NamedTuple):
-    """What a play showed from the fault's beginning on."""
+    """Results from the beginning of the fault on."""
 
     excess: Excess
     requests: int
@@ -28,7 +28,7 @@
 
 
 def run_play(play: Play) -> Outcome:
-    """Let a fleet serve for a while and then undergo the fault."""
+    """Warm up a fleet, then run the fault."""
     fleet = make_fleet(SETUPS[play.setup], play.seed)
     requests = fleet.requests
     rejections = fleet.rejections
--- a/harness/slow_start_processes.py
+++ b/harness/slow_start_processes.py
@@ -1,6 +1,6 @@
-"""What real hosts in slow start were sent, judged by the operators' term.
+"""Compares the requests that real hosts in slow start received with the operators' limit.
 
-What a host can do at least is taken from what a warm one was sent before the faults.
+The rate of requests at a warm host before the faults is the lower bound of a host's capacity.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 def fullest_window_share(arrivals: Sequence[float], started: float, usual_rate: float) -> float:
-    """Return the fullest window's requests over those that are allowed there.
+    """Return the maximum ratio of requests to the limit in a window.
 
-    `arrivals` and `started` are seconds of one clock; `usual_rate`: what a warm host is sent in a second.
+    `arrivals` and `started` are seconds of one clock; `usual_rate` is the requests per second at a warm host.
     """
     start_share = INVARIANTS["startCapacity"]
     worst = 0.0
--- a/harness/slow_start_setup.py
+++ b/harness/slow_start_setup.py
@@ -1,4 +1,4 @@
-"""Sets up fleets for the simulation of slow start: their sizes, their traffic, and a while of service."""
+"""Sets up fleets of several sizes for the simulation of slow start, and warms them up."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from harness.slow_start_fleet import SECOND, SlowStartFleet
 from limerudder.policy.settings import Settings, TrafficClass
 
-SPREAD = 0.8  #: sigma of the nodes' lognormal rates: some get several times the mean
+RATE_SIGMA = 0.8  #: Sigma of the nodes' lognormal rates; some nodes get several times the mean
 MEAN_CONNECTION_SECONDS = 60.0
-WARM_SECONDS = 75.0  #: of service before anything happens: longer than nodes measure their rates
+WARM_SECONDS = 75.0  #: Service before a fault; longer than the window in which nodes measure their rates
 
 SETTINGS = Settings(
     node_count=1,
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True)
 class FleetSetup:
-    """A fleet before a fault."""
+    """Size and traffic of a fleet before a fault."""
 
     node_count: int
     server_count: int = 90
-    connections_per_second: float = 120.0  #: at all nodes together
-    load: float = 0.85  #: of what warm servers can do, before the fault
-    told_node_count: int = 0  #: how many nodes the settings tell, if that is not how many there are
+    connections_per_second: float = 120.0  #: Total over all nodes
+    load: float = 0.85  #: Utilization of warm servers before the fault
+    told_node_count: int = 0  #: Node count in the settings, if it differs from the actual one
 
 
 SETUPS = {
@@ -52,9 +52,9 @@
 
 
 def make_fleet(setup: FleetSetup, seed: int) -> SlowStartFleet:
-    """Return a fleet that has served for a while."""
+    """Return a fleet that has served for `WARM_SECONDS`."""
     rng = Random(seed)
-    weights = [rng.lognormvariate(0, SPREAD) for _ in range(setup.node_count)]
+    weights = [rng.lognormvariate(0, RATE_SIGMA) for _ in range(setup.node_count)]
     rates = [setup.connections_per_second * weight / sum(weights) for weight in weights]
     settings = replace(SETTINGS, node_count=setup.told_node_count or setup.node_count)
     fleet = SlowStartFleet(settings, rates, setup.server_count, setup.load, MEAN_CONNECTION_SECONDS, seed)
