--- a/harness/configurations.py
+++ b/harness/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of nodes as JSON: settings, endpoint lists, a configuration file."""
+"""Builds JSON configurations of nodes: settings, endpoint lists and configuration files."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 LINE = f"OPEN {ID} {KEY} c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59"
 
 
-def fresh(line: str, number: int) -> str:
-    """Return the line with an id of its own for each number; number 0 leaves it unchanged."""
+def with_request_id(line: str, number: int) -> str:
+    """Return the line with a unique request id for each number; number 0 leaves it unchanged."""
     return line.replace(ID, f"{int(ID, 16) + number:016x}")
 
 
 def settings(**caps: Any) -> dict[str, Any]:
-    """Return settings as a configuration file holds them; `caps` change what the platform allows."""
+    """Return the settings of a configuration file; `caps` override the default platform capabilities."""
     chat = {"aimUs": 300_000, "deadlineUs": 2 * SECOND, "effect": "safe", "name": "chat", "stream": True}
     allowed = {"cancel": True, "probes": False, "peers": True, "tryLimit": 3, "dialTimeoutUs": 100_000}
     return {
@@ -48,18 +48,18 @@
 
 
 def host(name: str, address: str = "127.0.0.1:9", lifecycle: str = "active") -> dict[str, Any]:
-    """Return one entry of discovery's list."""
+    """Return one entry of the endpoint list."""
     fixed = {"zone": "a", "machineType": "m1", "cell": 0, "weight": 1.0, "startedAtMs": 0}
     return {"instanceId": name, "hostPort": address, "lifecycle": lifecycle, **fixed}
 
 
 def hosts(*entries: dict[str, Any], reset: bool = True) -> dict[str, Any]:
-    """Return discovery's list; `reset` marks a complete one."""
+    """Return an endpoint list; `reset` marks a complete list."""
     return {"generation": 41, "reset": reset, "instances": list(entries)}
 
 
 def configuration(folder: Path, **changes: Any) -> dict[str, str]:
-    """Write a configuration file, and return the environment that names it."""
+    """Write a configuration file and return the environment variables that refer to it."""
     given = {
         "name": "n0",
         "listen": "127.0.0.1:0",
--- a/harness/multi_process.py
+++ b/harness/multi_process.py
@@ -1,4 +1,4 @@
-"""A tier of real node processes on loopback, with a stand-in discovery service, hosts and clients."""
+"""A tier of real node processes on loopback, with clients and stand-ins for discovery and hosts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from harness.tier_clients import TierClients
 from limerudder.store.data_directory import init_cluster
 
-POLL_SECONDS = 0.02  #: between calls to nodes whose state is waited for
-PORTS_PER_NODE = 3  #: for clients, for the console, for the store
+POLL_SECONDS = 0.02  #: Interval of polling the nodes' state
+PORTS_PER_NODE = 3  #: For clients, the console and the store
 
 
 class MultiProcessTier:
-    """The nodes of a tier, what surrounds them, and their clients."""
+    """The nodes of a tier, their clients, and stand-ins for discovery and hosts."""
 
     def __init__(
         self, folder: Path, node_count: int = 4, host_count: int = 5, with_store: bool = True
@@ -34,18 +34,18 @@
 
     @property
     def answer_counts(self) -> Counter[str]:
-        """How many answers clients have received, by the answer's first word."""
+        """Number of answers that clients have received, by the first word of the answer."""
         return self.clients.answer_counts
 
     @property
     def violations(self) -> list[str]:
-        """What clients have received that they never should."""
+        """Violations of the protocol that clients have seen."""
         return self.clients.violations
 
     async def start(self, store_settings: str = "", **caps: Any) -> None:
-        """Start everything but clients; wait until the nodes serve.
+        """Start the hosts, discovery and the nodes; wait until the nodes serve.
 
-        `store_settings` goes into the operator's file; `caps` into the settings of the policy.
+        `store_settings` is written to the operator's file, `caps` to the settings of the policy.
         """
         await self.discovery.start()
         for stand_in in self.hosts.values():
@@ -69,11 +69,11 @@
         values = self._configuration_values(caps)
         for node, (listen, console, store_listen) in zip(self.nodes, node_addresses, strict=True):
             node.write_files(
-                listen, console, store_listen, values | self._own_values(node, values), store_settings
+                listen, console, store_listen, values | self._node_values(node, values), store_settings
             )
 
-    def _own_values(self, node: NodeProcess, values: dict[str, Any]) -> dict[str, Any]:
-        """Return what one node's configuration has in place of the tier's values."""
+    def _node_values(self, node: NodeProcess, values: dict[str, Any]) -> dict[str, Any]:
+        """Return the values of one node's configuration that override those of the tier."""
         return {"settings": values["settings"] | {"me": node.number}}
 
     def _configuration_values(self, caps: dict[str, Any]) -> dict[str, Any]:
@@ -86,7 +86,7 @@
         }
 
     async def wait_until_settled(self, timeout_seconds: float = 30.0) -> float:
-        """Wait until all stores have the same leader and revision; return the seconds that took."""
+        """Wait until all stores have the same leader and revision; return the duration in seconds."""
         started = time.monotonic()
         statuses: list[dict[str, Any]] = []
         while time.monotonic() - started < timeout_seconds:
@@ -97,7 +97,7 @@
         raise AssertionError(f"not settled after {timeout_seconds} s: {statuses}")
 
     async def leader(self) -> NodeProcess:
-        """Wait until a store leads, and return its node."""
+        """Wait until a store is the leader, and return its node."""
         while True:
             for node in self.nodes:
                 status = await node.call_store("status")
@@ -106,15 +106,15 @@
             await asyncio.sleep(POLL_SECONDS)
 
     def start_clients(self, count: int) -> None:
-        """Start clients that send one request after the other, through all nodes in turn."""
+        """Start clients that send requests one at a time to all nodes in turn."""
         self.clients.start(count)
 
     def count_requests_since(self, name: str, since: float) -> int:
-        """Return how many requests a host got after a moment of the monotonic clock."""
+        """Return the number of requests that a host received after `since` on the monotonic clock."""
         return sum(request_time > since for request_time in self.hosts[name].request_times)
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop the clients, nodes, discovery and hosts."""
         await self.clients.close()
         for node in self.nodes:
             await node.kill()
@@ -132,19 +132,19 @@
 
 
 async def wait_until(condition: Callable[[], Any], description: str, timeout_seconds: float = 20.0) -> None:
-    """Wait until a condition holds; fails with its description if that takes too long."""
+    """Wait until a condition is true; fail with its description on timeout."""
     deadline = time.monotonic() + timeout_seconds
     while not condition():
-        assert time.monotonic() < deadline, f"never came: {description}"
+        assert time.monotonic() < deadline, f"timed out waiting for: {description}"
         await asyncio.sleep(0.01)
 
 
 async def overlapping_kills(
     tier: MultiProcessTier, order: Sequence[int], gap_seconds: float, down_seconds: float
 ) -> float:
-    """Kill and restart nodes in an order, each while the one before is still down.
+    """Kill and restart nodes in the given order, each while the previous one is still down.
 
-    Returns the moment of the monotonic clock at which all served again.
+    Returns the time on the monotonic clock at which all nodes served again.
     """
 
     async def kill_and_restart(node: NodeProcess, delay_seconds: float) -> None:
--- a/harness/node_process.py
+++ b/harness/node_process.py
@@ -1,4 +1,4 @@
-"""One node as a process of its own, which can be killed and started again."""
+"""A node in a separate process, which can be killed and restarted."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from limerudder.store.client import ControlClient, ControlUnavailableError
 
 DEPLOY_FILE = Path(__file__).resolve().parent.parent / "deploy" / "balancer.toml"
-LISTENING_TEXT = "listening on"  #: in the line that a node logs once it serves
+LISTENING_TEXT = "listening on"  #: Part of the line that a node logs when it starts serving
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free, all different."""
+    """Return distinct free ports."""
     sockets = [socket.socket() for _ in range(count)]
     for free_socket in sockets:
         free_socket.bind(("127.0.0.1", 0))
@@ -31,7 +31,7 @@
 
 
 class NodeProcess:
-    """A node with its own folder: runs as one process after the other, and may run as two at a time."""
+    """A node with its own folder; runs as a series of processes, of which two may overlap."""
 
     def __init__(self, number: int, tier_folder: Path, with_store: bool) -> None:
         self.number = number
@@ -42,19 +42,19 @@
         self.listen = ""
         self.console = ""
         self.environment: dict[str, str] = {}
-        self.command_prefix: list[str] = []  # a program that runs the node's process, such as a tracer
-        self.process: asyncio.subprocess.Process | None = None  # the one started last
-        self.lines: list[str] = []  # of the log, of all processes
+        self.command_prefix: list[str] = []  # a program that runs the node process, such as a tracer
+        self.process: asyncio.subprocess.Process | None = None  # the latest process
+        self.lines: list[str] = []  # log lines of all processes
         self.reading: asyncio.Task[None] | None = None
-        self.kills = 0  # of processes that had begun to serve, or may have
-        self.stop_sent_at: dict[int, float] = {}  # by process id: when it got SIGTERM, by the monotonic clock
+        self.kills = 0  # SIGKILLs sent to processes that may have been serving
+        self.stop_sent_at: dict[int, float] = {}  # time of SIGTERM on the monotonic clock, by process id
         self._with_store = with_store
         self._serving = asyncio.Event()
 
     def write_files(
         self, listen: str, console: str, store_listen: str, values: dict[str, Any], store_settings: str
     ) -> None:
-        """Write the configuration, and with a store the operator's file."""
+        """Write the configuration and, if the node has a store, the operator's file."""
         self.listen = listen
         self.console = console
         paths = configuration(self.folder, name=self.name, listen=listen, console=console, **values)
@@ -74,16 +74,16 @@
         await self._serving.wait()
 
     async def launch(self) -> asyncio.subprocess.Process:
-        """Start a process and return it at once; its log is read."""
+        """Start a process and return it without waiting; its log is read in the background."""
         self._serving = asyncio.Event()
         process = await self.launch_with_log(asyncio.subprocess.PIPE)
         self.reading = asyncio.create_task(self._read_log(process, self._serving))
         return process
 
     async def launch_as_operators_do(self) -> asyncio.subprocess.Process:
-        """Start a process by the command of the deploy file; its log is read.
+        """Start a process with the command of the deploy file; its log is read in the background.
 
-        Returns when the shell has become the program: signals go to that, and not to the shell around it.
+        Returns after the shell has executed the program, so that signals reach the program.
         """
         with open(DEPLOY_FILE, "rb") as file:
             command = tomllib.load(file)["run"]
@@ -100,19 +100,19 @@
         return self.process
 
     async def launch_with_log(self, log: int) -> asyncio.subprocess.Process:
-        """Start a process that writes its log to this descriptor, and return it at once."""
+        """Start a process that logs to this descriptor, and return it without waiting."""
         command = [*self.command_prefix, sys.executable, "-m", "limerudder"]
         self.process = await asyncio.create_subprocess_exec(*command, env=self.environment, stderr=log)
         return self.process
 
     def stop(self, process: asyncio.subprocess.Process) -> None:
-        """Tell a process to end, unless it has."""
+        """Send SIGTERM to a process that is still running."""
         if process.returncode is None:
             self.stop_sent_at.setdefault(process.pid, time.monotonic())
             process.send_signal(signal.SIGTERM)
 
     async def kill(self, signal_number: int = signal.SIGKILL) -> None:
-        """End the process and wait until it has ended."""
+        """Send a signal, SIGKILL by default, and wait until the process has ended."""
         self.kills += signal_number == signal.SIGKILL
         if self.process:
             if self.process.returncode is None:
@@ -122,7 +122,7 @@
             await self.reading
 
     def call_store_blocking(self, name: str, wait_seconds: float = 2.0, **arguments: Any) -> dict[str, Any]:
-        """Make a call to the node's store; the answer is not `ok` if no process answers."""
+        """Call the node's store; `ok` is false in the answer if no process answers."""
         try:
             with ControlClient(str(self.store), wait_seconds) as client:
                 return client.call(name, **arguments)
@@ -130,7 +130,7 @@
             return {"ok": False, "kind": "not_now", "error": str(error)}
 
     async def call_store(self, name: str, wait_seconds: float = 2.0, **arguments: Any) -> dict[str, Any]:
-        """Do the same without blocking the event loop."""
+        """Call the node's store without blocking the event loop."""
         return await asyncio.to_thread(self.call_store_blocking, name, wait_seconds, **arguments)
 
     async def call_console(self, line: str) -> str:
@@ -138,7 +138,7 @@
         host, port = self.console.split(":")
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(line.encode() + b"\n")
-        writer.write_eof()  # as `echo … | nc` does
+        writer.write_eof()  # like `echo … | nc`
         answer = (await reader.read()).decode().strip()
         writer.close()
         return answer
--- a/harness/tier_clients.py
+++ b/harness/tier_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a tier of nodes, which check that every request gets exactly one answer."""
+"""Clients of a tier of nodes that check that every request gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 ANSWER_WORDS = (b"UP", b"BUSY", b"FAIL", b"ERR")
 ANSWER_TIMEOUT_SECONDS = 4
-SECOND_ANSWER_SECONDS = 0.3  #: for how long a client of an accepted request waits for a second answer
+SECOND_ANSWER_SECONDS = 0.3  #: Wait for a second answer to an accepted request
 RETRY_SECONDS = 0.02
-#: For so long after SIGTERM the platform's front may send new connections; later ones are not judged.
-FRONT_NOTICE_SECONDS = 0.4
-EXIT_NOTICE_SECONDS = 0.2  #: after which a process that has closed a connection and ended is known to have
+#: The platform's front may open connections for this long after SIGTERM; later ones are not checked.
+FRONT_UPDATE_SECONDS = 0.4
+EXIT_DETECTION_SECONDS = 0.2  #: Time to detect the exit of a process that has closed a connection
 
 
 class TierClients:
-    """Clients that send one request after the other, each through the next node."""
+    """Clients that send requests one at a time, each to the next node."""
 
     def __init__(self, nodes: Sequence[NodeProcess]) -> None:
-        self.answer_counts: Counter[str] = Counter()  # by the answer's first word
+        self.answer_counts: Counter[str] = Counter()  # answers by their first word
         self.violations: list[str] = []
         self.stopping = False
         self._nodes = nodes
@@ -38,30 +38,30 @@
         self._tasks += [asyncio.create_task(self._run(number)) for number in range(count)]
 
     async def close(self) -> None:
-        """End all clients."""
+        """Stop all clients."""
         self.stopping = True
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _run(self, client: int) -> None:
-        turn = client
+        node_index = client
         while not self.stopping:
-            turn += 1
-            node = self._nodes[turn % len(self._nodes)]
-            # a request whose node was killed has no answer; the client sends another one elsewhere
-            if not await self._request(node, self._next_line(client)):
+            node_index += 1
+            node = self._nodes[node_index % len(self._nodes)]
+            # a killed node leaves its request unanswered; the client sends another one to the next node
+            if not await self._request(node, self._create_request_line(client)):
                 await asyncio.sleep(RETRY_SECONDS)
 
-    def _next_line(self, client: int) -> bytes:
+    def _create_request_line(self, client: int) -> bytes:
         self._last_request_id += 1
         return f"OPEN {self._last_request_id:016x} {client:016x} c=chat,t=acme,d=2000\r\n".encode()
 
     async def _request(self, node: NodeProcess, line: bytes) -> bool:
-        """Send one request and check its answers; return whether there was one."""
+        """Send one request and check its answers; return whether there was at least one."""
         process = node.process
         kills = node.kills
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         try:
             reader, writer = await asyncio.open_connection(*node.listen.split(":"))
         except OSError:
@@ -80,7 +80,7 @@
         if len(answers) > 1:
             self.violations.append(f"{node.name}: two answers: {answers}")
         if not answers:
-            await self._check_process_has_ended(node, process, kills, began_at)
+            await self._check_process_has_ended(node, process, kills, started_at)
         return bool(answers)
 
     async def _read_answers(self, reader: asyncio.StreamReader, answers: list[bytes]) -> None:
@@ -101,19 +101,19 @@
             answers.append(line)
 
     async def _check_process_has_ended(
-        self, node: NodeProcess, process: asyncio.subprocess.Process | None, kills: int, began_at: float
+        self, node: NodeProcess, process: asyncio.subprocess.Process | None, kills: int, started_at: float
     ) -> None:
-        """Note a violation unless the process has ended, was killed, or was told to end long before."""
-        if process and began_at > node.stop_sent_at.get(process.pid, began_at) + FRONT_NOTICE_SECONDS:
-            self.answer_counts["late after a stop, unanswered"] += 1
+        """Record a violation unless the process has ended, was killed, or got SIGTERM long before."""
+        if process and started_at > node.stop_sent_at.get(process.pid, started_at) + FRONT_UPDATE_SECONDS:
+            self.answer_counts["unanswered long after SIGTERM"] += 1
             return
         if not _is_running(node, process):
             return
-        await asyncio.sleep(EXIT_NOTICE_SECONDS)
+        await asyncio.sleep(EXIT_DETECTION_SECONDS)
         if _is_running(node, process) and node.kills == kills:
-            age = began_at - node.stop_sent_at.get(process.pid, began_at) if process else 0.0
+            age = started_at - node.stop_sent_at.get(process.pid, started_at) if process else 0.0
             self.violations.append(
-                f"{node.name}: closed without an answer, and it lives; begun {age:.2f} s after SIGTERM"
+                f"{node.name}: running process closed without an answer; opened {age:.2f} s after SIGTERM"
             )
 
 
--- a/tests/loopback_testbed.py
+++ b/tests/loopback_testbed.py
@@ -1,4 +1,4 @@
-"""A real node on loopback sockets among scripted clients, upstreams and a scripted discovery service."""
+"""A real node on loopback sockets with scripted clients, upstreams and a scripted discovery service."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from pathlib import Path
 from typing import Any
 
-from harness.configurations import LINE, configuration, fresh, host, hosts, settings
+from harness.configurations import LINE, configuration, host, hosts, settings, with_request_id
 from limerudder.config import load_config
 from limerudder.core.transport import Address, parse_address
 from limerudder.node_process import run_node
 
-LONG_DIRECTORY_NAME = "t" * 120  # longer than a Unix socket's name may be
+LONG_DIRECTORY_NAME = "t" * 120  # exceeds the length limit of a Unix socket's name
 
 
-class Peer:
-    """One scripted connection, as a client or as an upstream."""
+class ScriptedConnection:
+    """One scripted connection of a client, an upstream or the discovery service."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     async def read_line(self) -> str:
-        """Return the next line, an empty one at the end."""
+        """Return the next line, empty at the end of the stream."""
         return (await self.reader.readline()).decode().removesuffix("\r\n")
 
     def send_lines(self, *lines: str) -> None:
         self.writer.write("".join(line + "\r\n" for line in lines).encode())
 
     async def read_to_end(self) -> bytes:
-        """Return all data until the connection ends, cleanly or not."""
+        """Return the data up to the end of the connection; empty if it is reset."""
         try:
             return await self.reader.read()
         except ConnectionError:
@@ -49,7 +49,7 @@
         self.writer.transport.abort()
 
     def send_watch_answer(self, endpoints: dict[str, Any]) -> None:
-        """Answer a discovery watch with this endpoint list, and leave the watch open."""
+        """Answer a discovery watch with this endpoint list and keep the watch open."""
         text = json.dumps(endpoints) + "\n"
         self.send_lines("HTTP/1.1 200 OK", "Transfer-Encoding: chunked", "", f"{len(text):x}", text)
 
@@ -58,22 +58,22 @@
     """A scripted server; `accept` returns its next connection."""
 
     def __init__(self) -> None:
-        self.connections: asyncio.Queue[Peer] = asyncio.Queue()
+        self.connections: asyncio.Queue[ScriptedConnection] = asyncio.Queue()
 
     async def start(self) -> str:
-        """Listen on an unused address, and return it."""
+        """Listen on an unused address and return it."""
         server = await asyncio.start_server(self.connected, "127.0.0.1", 0)
         return "{}:{}".format(*server.sockets[0].getsockname())
 
     def connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections.put_nowait(Peer(reader, writer))
+        self.connections.put_nowait(ScriptedConnection(reader, writer))
 
-    async def accept(self) -> Peer:
+    async def accept(self) -> ScriptedConnection:
         return await self.connections.get()
 
 
 class BalancerProcess:
-    """A node in a process of its own, with its console and what it logs."""
+    """A node in a separate process, with access to its console and log."""
 
     def __init__(self, subprocess: asyncio.subprocess.Process, console: Address) -> None:
         self.subprocess = subprocess
@@ -85,20 +85,20 @@
         line = ""
         while text not in line:
             line = (await self.subprocess.stderr.readline()).decode()
-            assert line, f"it ended and never logged {text}"
+            assert line, f"process ended without logging {text}"
 
     def send_signal(self, number: int) -> None:
         self.subprocess.send_signal(number)
 
     async def wait_for_exit(self) -> int:
-        """Wait for the end of the process; return its exit code."""
+        """Wait until the process ends; return its exit code."""
         assert self.subprocess.stderr
         await self.subprocess.stderr.read()
         return await self.subprocess.wait()
 
 
 def unused_address() -> str:
-    """Return an address on loopback that is not in use."""
+    """Return an unused loopback address."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return "{}:{}".format(*sock.getsockname())
@@ -113,24 +113,24 @@
         self.upstream = Listener()
         self.request_count = 0
         self.logged: asyncio.Queue[str] = asyncio.Queue()
-        self.shared_config: dict[str, Any] = {}  # the configuration of all processes of the node
-        self.has_started = False  # a process of the node has accepted clients
-        self.environment: dict[str, str] = {}  # of the processes, beside what the configuration needs
-        self.watches: list[Peer] = []  # that the discovery service has answered
-        self._tasks: list[asyncio.Task[None]] = []  # of scripted upstreams, for as long as the loop runs
+        self.shared_config: dict[str, Any] = {}  # configuration common to all processes of the node
+        self.has_started = False  # True once a process of the node has accepted clients
+        self.environment: dict[str, str] = {}  # additional variables of the processes
+        self.watches: list[ScriptedConnection] = []  # watches that the discovery service has answered
+        self._tasks: list[asyncio.Task[None]] = []  # keeps the scripted upstreams' tasks referenced
 
     def request_line(self) -> str:
-        """Return a first line with an id of its own."""
+        """Return a first line with a unique request id."""
         self.request_count += 1
-        return fresh(LINE, self.request_count)
+        return with_request_id(LINE, self.request_count)
 
-    async def connect(self) -> Peer:
-        """A client connects to the node and sends nothing."""
-        return Peer(*await asyncio.open_connection(*self.address))
+    async def connect(self) -> ScriptedConnection:
+        """Connect a client that sends nothing."""
+        return ScriptedConnection(*await asyncio.open_connection(*self.address))
 
     @asynccontextmanager
     async def running_node(self, **changes: Any) -> AsyncIterator[asyncio.Task[None]]:
-        """Run the node in this process; its one upstream is `s-1`."""
+        """Run the node in this process with the single upstream `s-1`."""
         address = await self.upstream.start()
         config = {"discovery": await self.discovery.start(), "known": hosts(host("s-1", address)), **changes}
         environment = configuration(self.folder, **config) | {"PROXY_DISCOVERY": config["discovery"]}
@@ -149,7 +149,7 @@
 
     @asynccontextmanager
     async def node_process(self, **changes: Any) -> AsyncIterator[BalancerProcess]:
-        """Run a process of the node as operators do: each with its own console, all with one TMPDIR."""
+        """Run a process of the node as in production: separate consoles, a common TMPDIR."""
         if not self.shared_config:
             await self._start_services()
         config = {**self.shared_config, "console": unused_address(), **changes}
@@ -176,31 +176,31 @@
         addresses = [await self.upstream.start(), await self.upstream.start()]
         endpoints = hosts(host("s-1", addresses[0]), host("s-2", addresses[1]))
         self.discovery_task = asyncio.create_task(self._answer_watches(endpoints))
-        quick = settings(peers=False)
-        quick["classes"][0] |= {"aimUs": 100_000, "deadlineUs": 800_000}
+        config_settings = settings(peers=False)
+        config_settings["classes"][0] |= {"aimUs": 100_000, "deadlineUs": 800_000}
         config = {
             "listen": unused_address(),
             "discovery": await self.discovery.start(),
             "known": endpoints,
-            "settings": quick,
+            "settings": config_settings,
         }
         self.configure_processes(config, LONG_DIRECTORY_NAME)
 
     def configure_processes(self, config: dict[str, Any], temporary_directory_name: str) -> None:
-        """Set what all processes of the node are configured with, and create their TMPDIR."""
+        """Set the common configuration of the node's processes and create their TMPDIR."""
         self.shared_config = config
         self.temporary_directory = self.folder / temporary_directory_name
         self.temporary_directory.mkdir()
 
     async def _answer_watches(self, endpoints: dict[str, Any]) -> None:
-        """Be the discovery service: each watch is answered with the list."""
+        """Run the discovery service: answer each watch with the endpoint list."""
         while True:
-            peer = await self.discovery.accept()
-            self.watches.append(peer)
-            peer.send_watch_answer(endpoints)
+            connection = await self.discovery.accept()
+            self.watches.append(connection)
+            connection.send_watch_answer(endpoints)
 
-    async def establish_connection(self) -> tuple[Peer, Peer]:
-        """Return a client whose connection is established, and its upstream's side."""
+    async def establish_connection(self) -> tuple[ScriptedConnection, ScriptedConnection]:
+        """Return the client's and the upstream's side of an established connection."""
         client = await self.connect()
         client.send_lines("PING")
         assert await client.read_line() == "PONG"
@@ -212,8 +212,8 @@
         assert await client.read_line() == "UP 77"
         return client, upstream
 
-    async def establish_echo_client(self) -> Peer:
-        """Return a client whose connection is established with an upstream that returns each line."""
+    async def establish_echo_client(self) -> ScriptedConnection:
+        """Return a client that is connected to an upstream which echoes each line."""
         client = await self.connect()
         client.send_lines(self.request_line())
         upstream = await self._accept_request()
@@ -222,33 +222,33 @@
         assert await client.read_line() == "UP 77"
         return client
 
-    async def _accept_request(self) -> Peer:
-        """Return the next upstream connection with a client's line; health checks before it are answered."""
+    async def _accept_request(self) -> ScriptedConnection:
+        """Answer health checks until a client's line arrives; return its upstream connection."""
         while True:
             upstream = await self.upstream.accept()
             line = await upstream.read_line()
             if line.startswith("OPEN"):
                 return upstream
-            # a health check, or a closed one
+            # a health check or a closed connection
             self._tasks.append(asyncio.create_task(self._answer_health_checks(upstream, line)))
 
-    async def _answer_health_checks(self, upstream: Peer, line: str) -> None:
+    async def _answer_health_checks(self, upstream: ScriptedConnection, line: str) -> None:
         while line:
             upstream.send_lines("PONG inflight=1,x0=0.1")
             line = await upstream.read_line()
 
-    async def _echo(self, upstream: Peer) -> None:
+    async def _echo(self, upstream: ScriptedConnection) -> None:
         line = await upstream.read_line()
         while line:
             upstream.send_lines(line)
             line = await upstream.read_line()
 
     async def read_console(self, process: BalancerProcess, call: str) -> str:
-        """Return all that the console answers to a call."""
-        peer = Peer(*await asyncio.open_connection(*process.console))
-        peer.send_lines(call)
-        return (await peer.reader.read()).decode()
+        """Return the console's complete answer to a call."""
+        connection = ScriptedConnection(*await asyncio.open_connection(*process.console))
+        connection.send_lines(call)
+        return (await connection.reader.read()).decode()
 
     async def call_console(self, process: BalancerProcess, call: str) -> str:
-        """Return the line that the console answers to a call."""
+        """Return the console's one-line answer to a call."""
         return (await self.read_console(process, call)).rstrip("\n")
--- a/tests/node_testbed.py
+++ b/tests/node_testbed.py
@@ -1,11 +1,11 @@
-"""A node in memory: fake transports, a clock that tests advance, and a record of its dials and log lines."""
+"""An in-memory node with fake transports and a manual clock, which records dials and log lines."""
 
 from __future__ import annotations
 
 from pathlib import Path
 from typing import Any
 
-from harness.configurations import LINE, SECOND, configuration, fresh
+from harness.configurations import LINE, SECOND, configuration, with_request_id
 from limerudder.config import ProcessConfig, load_config
 from limerudder.core.client.session import LineSession
 from limerudder.core.node import Node
@@ -18,17 +18,17 @@
 
 
 class FakeTransport:
-    """A transport that records what its state machine asks of it."""
+    """A transport that records the calls of its state machine."""
 
     def __init__(self, machine: Any = None, address: Address = ("", 0)) -> None:
-        self.machine = machine  # that dialled, for an outbound connection
+        self.machine = machine  # state machine of an outbound connection
         self.address = address
         self.sent = b""
         self.reading_paused = False
         self.half_closed = False
         self.closed = False
         self.was_reset = False
-        self.peer_disconnected = False  # the other side has disconnected, behind bytes that are not read yet
+        self.peer_disconnected = False  # the other side has disconnected, with bytes still unread
 
     def write(self, data: bytes) -> None:
         assert not self.half_closed and not self.closed
@@ -51,7 +51,7 @@
         return self.peer_disconnected
 
     def accept(self, now_us: int) -> str:
-        """Let the dial succeed; return what the machine wrote first, nothing if it gave the dial up."""
+        """Let the dial succeed; return the first bytes written, empty if the machine cancelled the dial."""
         first_bytes = self.machine.first_bytes(now_us)
         if self.closed:
             return ""
@@ -62,9 +62,9 @@
 
 
 class NodeTestbed:
-    """A node in memory with its clock, its dials and its log.
+    """An in-memory node with its clock, dials and log.
 
-    It checks that no request has two attempts in progress.
+    Asserts that no request has two attempts in progress.
     """
 
     def __init__(self, config: ProcessConfig) -> None:
@@ -92,26 +92,26 @@
         self.datagrams.append((peer, data))
 
     def connect(self) -> tuple[LineSession, FakeTransport]:
-        """A client connects and sends nothing."""
+        """Connect a client that sends nothing."""
         session = LineSession(self.node)
         transport = FakeTransport()
         session.connection_made(transport, self.now)
         return session, transport
 
     def send_request(self, line: str = LINE) -> tuple[LineSession, FakeTransport]:
-        """A client connects and sends its first line, with an id of its own."""
-        line = fresh(line, self.request_count)
+        """Connect a client that sends its first line with a unique request id."""
+        line = with_request_id(line, self.request_count)
         self.request_count += 1
         session, transport = self.connect()
         session.data_received(line.encode() + b"\r\n", self.now)
         return session, transport
 
     def attempts(self) -> list[FakeTransport]:
-        """The dials to upstreams with a client's line that are not closed."""
+        """Return the open dials to upstreams for a client's line."""
         return [dial for dial in self.dials if hasattr(dial.machine, "line") and not dial.closed]
 
     def establish_client(self, line: str = LINE) -> tuple[LineSession, FakeTransport, FakeTransport]:
-        """A client's request is accepted: its session, its transport and its attempt's transport."""
+        """Send a request that is accepted; return its session, transport and attempt's transport."""
         session, transport = self.send_request(line)
         attempt = self.attempts()[-1]
         attempt.accept(self.now)
@@ -120,19 +120,19 @@
         return session, transport, attempt
 
     def run(self, duration_us: int) -> None:
-        """Let time pass, a tick at a time."""
+        """Advance the clock in ticks."""
         for _ in range(duration_us // TICK_US):
             self.now += TICK_US
             self.node.timer_wheel.advance(self.now)
 
 
 def node_testbed(folder: Path, **changes: Any) -> NodeTestbed:
-    """A node in memory with this configuration."""
+    """Return an in-memory node with this configuration."""
     return NodeTestbed(load_config(configuration(folder, **changes)))
 
 
 def policy_events(testbed: NodeTestbed) -> list[Event]:
-    """The events that the policy of this node is given from now on."""
+    """Return a list that collects the events delivered to this node's policy from now on."""
     events: list[Event] = []
     handle = testbed.node.balancer.handle
 
--- a/tests/test_process_soak.py
+++ b/tests/test_process_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real node processes; the long one is `python -m bench.process_soak`."""
+"""Short soak tests of real node processes; `python -m bench.process_soak` runs long ones."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_overlapping_faults_break_no_rule(tmp_path: Path, seed: int) -> None:
-    """Guards against issue 33 and its relatives: overloaded hosts, lost requests, rules broken in service."""
+    """Guards against issue 33 and similar faults: overloaded hosts, lost requests, rule violations."""
     soak = ProcessSoak(tmp_path, NODES, HOSTS, CLIENTS, seed)
     report = uvloop.run(asyncio.wait_for(soak.run(FAULT_SECONDS), TIMEOUT_SECONDS))
     assert not report.violations, (report.faults, report.violations)
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_thousands_of_hosts_and_interrupted_starts_break_no_rule(tmp_path: Path, seed: int) -> None:
-    """Guards against report 47952f and its relatives: processes that crash, hang or do not start."""
+    """Guards against report 47952f and similar faults: processes that crash, hang or fail to start."""
     soak = ManyHostsSoak(tmp_path, MANY_HOSTS_NODES, LISTED_HOSTS, CLIENTS, seed)
     report = uvloop.run(asyncio.wait_for(soak.run(FAULT_SECONDS), TIMEOUT_SECONDS))
     assert not report.violations, (report.faults, report.violations)
