--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Examples that CI runs."""
+"""Examples; CI runs them."""
--- a/examples/node.py
+++ b/examples/node.py
@@ -1,4 +1,4 @@
-"""A small node: one Balancer, two servers, one client that comes and goes."""
+"""A minimal node: one Balancer, two servers, and one client that connects and disconnects."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def main() -> None:
-    """Walk one request through its life, then deliver late events, then drop the node."""
+    """Handle one request from start to end, then deliver late events, then discard the Balancer."""
     now_us = 1_000_000
     balancer = Balancer(SETTINGS, Random(7))
     entries = [
@@ -78,9 +78,9 @@
     ended = _attempt_ended(1, second.server_id, AttemptOutcome.OK)
     balancer.handle(ended, now_us)
     assert balancer.handle(ended, now_us) == []  # a repeated event changes nothing
-    assert balancer.handle(ClientDisconnected(99), now_us) == []  # nor does one about an unknown request
+    assert balancer.handle(ClientDisconnected(99), now_us) == []  # an unknown request is ignored
     print("its connection has ended")
-    del balancer  # a node that ends just drops its Balancer; connections end with it
+    del balancer  # a node that stops discards its Balancer; its connections end with it
 
 
 def _attempt_ended(attempt: int, server_id: int, outcome: AttemptOutcome) -> AttemptEnded:
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions, the codec and the drill; none needs the bench."""
+"""Tests of the policy, the node, the store and the tools; none needs the benchmark environment."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them.
+"""Ignores failures of the tests that KNOWN-RED.txt lists, and prints its entries.
 
-Each line of that file is an entry, its fields separated by ` | `: the test's id, the command and seed, what
-was seen, the issue. A listed test still runs. If it passes, the run fails until its entry is taken out,
-unless what was seen begins with "flaky".
+Each line of that file is an entry with fields separated by ` | `: the test id, the command and seed, the
+observed failure, the issue. A listed test still runs. If it passes, the run fails until its entry is removed,
+unless the observed failure begins with "flaky".
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def read_known_failures(text: str) -> list[KnownFailure]:
-    """Return the entries of the file; a line without exactly four fields raises a TypeError."""
+    """Return the file's entries; raise TypeError for a line that does not have exactly four fields."""
     return [KnownFailure(*line.split(SEPARATOR)) for line in text.splitlines() if line.strip()]
 
 
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -1,7 +1,7 @@
-"""Drives one Balancer in tests: delivers legal events, and checks every action against the policy's rules.
+"""Drives one Balancer in tests: delivers valid events and checks every action against the policy's rules.
 
-The rules: one final answer a request, in time; attempts only at ready servers, one at a time; retries only
-where they are safe; and migrations of established connections only. Times are microseconds.
+The rules: one final answer per request, in time; attempts only at ready servers, one at a time; retries only
+if they are safe; and migrations only of established connections. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -85,27 +85,27 @@
 )
 #: Without load reports and without groups.
 MINIMAL_SETTINGS = replace(BASE_SETTINGS, allows_health_checks=False, has_groups=False)
-#: Health checks cost nothing, so every server is polled in every sweep.
+#: Health checks are free, so every sweep polls every server.
 FREE_HEALTH_CHECKS = replace(BASE_SETTINGS, prices={})
 
-NEVER_US = 1 << 62  #: a time that no test reaches
+NEVER_US = 1 << 62  #: A time that no test reaches
 
 
 def server_entry(
     server_id: int, state: int = ServerState.READY, zone: int = 0, ready_since_us: int = 0, cell: int = 0
 ) -> ServerEntry:
-    """One line of the endpoint list: a server of weight 1."""
+    """Return an entry of the endpoint list, with weight 1."""
     return ServerEntry(server_id, zone, 0, cell, state, 1.0, ready_since_us)
 
 
 def server_entries(count: int, **fields: int) -> list[ServerEntry]:
-    """Entries of servers 1 to `count`, alike in all other fields."""
+    """Return entries of servers 1 to `count` with identical other fields."""
     return [server_entry(server_id, **fields) for server_id in range(1, count + 1)]
 
 
 @dataclass
 class Attempt:
-    """An attempt, or the connection it established, that has not ended."""
+    """An attempt in progress, or the open connection that it established."""
 
     request_id: int
     number: int
@@ -125,7 +125,7 @@
 
 @dataclass
 class TrackedRequest:
-    """What the rules need to know of a request."""
+    """State of a request that the rules are checked against."""
 
     traffic_class: TrafficClass
     deadline_us: int
@@ -134,18 +134,18 @@
 
 
 class DueKind(IntEnum):
-    """What falls due as time passes. Of what is due at the same time, timers come first."""
+    """Kind of a due item. Timers come first among items due at the same time."""
 
     TIMER = 0
     ATTEMPT_TIMEOUT = 1
 
 
 class DueItem(NamedTuple):
-    """A timer or an attempt's timeout. Items sort in the order in which they are delivered."""
+    """A timer or an attempt's timeout; items sort in order of delivery."""
 
     due_at_us: int
     kind: DueKind
-    id: int  #: the timer's token, or the id of the attempt's request
+    id: int  #: The timer's token, or the request id of the attempt
 
 
 class Driver:
@@ -171,7 +171,7 @@
             self.update_endpoints(servers, UpdateKind.CACHED)
 
     def deliver(self, event: Event) -> list[Action]:
-        """Deliver one event and check the actions against the rules."""
+        """Deliver one event and check the resulting actions against the rules."""
         actions = self.balancer.handle(event, self.now_us)
         for action in actions:
             self.actions.append(action)
@@ -204,7 +204,7 @@
             self._check_retry(request.traffic_class, execution, action.server_id)
 
     def _check_retry(self, traffic_class: TrafficClass, execution: PossibleExecution, server_id: int) -> None:
-        """Check that a request which may have been executed may be sent to this server."""
+        """Check that a possibly executed request may be retried at this server."""
         assert traffic_class.effect != "unsafe", "an unsafe request that may have been executed was retried"
         if traffic_class.effect == "keyed":
             previous = self.entries[execution.server_id]
@@ -234,7 +234,7 @@
             assert traffic_class.effect == "safe" or traffic_class.key_scope == "all"
 
     def _check_connection_counts(self) -> None:
-        """Each server's count is exactly its attempts under way and its connections."""
+        """Check that each server's count equals its attempts in progress plus its connections."""
         counts = Counter(attempt.server_id for attempt in self.attempts.values())
         for server in self.balancer.registry.servers.values():
             assert server.connection_count == len(server.connections) == counts[server.id]
@@ -243,7 +243,7 @@
         assert grouped <= len(self.attempts)
 
     def update_endpoints(self, entries: Sequence[ServerEntry], kind: int = UpdateKind.DELTA) -> list[Action]:
-        """Deliver an endpoint list, or changes of the list."""
+        """Deliver an endpoint list or changes to it."""
         if kind in (UpdateKind.FULL, UpdateKind.CACHED):
             for server_id, entry in self.entries.items():
                 self.entries[server_id] = entry._replace(state=ServerState.GONE)
@@ -258,8 +258,8 @@
         tenant: int = 0,
         flags: int = 0,
     ) -> int:
-        """Deliver a new request, by default with all of its class's time; return its id."""
-        request_id = self._take_request_id()
+        """Deliver a new request, by default with its class's full deadline; return its id."""
+        request_id = self._allocate_request_id()
         class_settings = self.settings.classes[traffic_class]
         if time_left_us is None:
             time_left_us = class_settings.deadline_us
@@ -268,8 +268,8 @@
         return request_id
 
     def add_connection(self, server_id: int, traffic_class: int = 0, group: int = 0) -> int:
-        """Deliver a connection that was open when the policy started; return its request id."""
-        request_id = self._take_request_id()
+        """Deliver a connection that existed when the policy started; return its request id."""
+        request_id = self._allocate_request_id()
         class_settings = self.settings.classes[traffic_class]
         self.requests[request_id] = TrackedRequest(class_settings, self.now_us, answered=True)
         self.attempts[request_id] = Attempt(request_id, 0, server_id, self.now_us, NEVER_US, established=True)
@@ -277,13 +277,13 @@
         self.deliver(ExistingConnection(request_id, traffic_class, 0, 0, 0, 0, group, 0, server_id))
         return request_id
 
-    def _take_request_id(self) -> int:
+    def _allocate_request_id(self) -> int:
         request_id = self._next_request_id
         self._next_request_id += 1
         return request_id
 
     def connect(self, **fields: int) -> int:
-        """Deliver a request whose first attempt succeeds at once; return its id."""
+        """Deliver a request whose first attempt succeeds immediately; return its id."""
         request_id = self.request(**fields)
         self.establish(request_id)
         return request_id
@@ -298,7 +298,7 @@
         self.deliver(ConnectionEstablished(request_id, attempt.server_id, attempt.number, latency_us))
 
     def end_attempt(self, request_id: int, outcome: int) -> list[Action]:
-        """End a request's attempt, or its connection; check that the event's repetition changes nothing."""
+        """End a request's attempt or connection; check that repeating the event has no effect."""
         attempt = self.attempts.pop(request_id)
         request = self.requests[request_id]
         if outcome == AttemptOutcome.OK:
@@ -331,7 +331,7 @@
         return self.deliver(HealthCheckResult(server_id, 1000, AttemptOutcome.OK, (0.0, load)))
 
     def run(self, duration_us: int) -> None:
-        """Let time pass: timers fire and attempts time out when they are due."""
+        """Advance the clock, firing timers and timing out attempts when they are due."""
         until_us = self.now_us + duration_us
         item = self._next_due_item(until_us)
         while item is not None:
@@ -360,11 +360,11 @@
         return self.attempts[request_id].server_id
 
     def pending_requests(self) -> list[int]:
-        """Return the ids of the requests whose attempt is under way."""
+        """Return the ids of the requests with an attempt in progress."""
         return [attempt.request_id for attempt in self.attempts.values() if not attempt.established]
 
     def is_pending(self, request_id: int) -> bool:
-        """Whether an attempt of this request is under way."""
+        """Return whether an attempt of this request is in progress."""
         return request_id in self.attempts and not self.attempts[request_id].established
 
     def actions_of_type(self, action_type: type[ActionT]) -> list[ActionT]:
@@ -372,19 +372,19 @@
         return [action for action in self.actions if isinstance(action, action_type)]
 
     def migrated_requests(self) -> list[int]:
-        """Return the ids of the requests whose clients were asked to migrate, in order."""
+        """Return the ids of the requests whose clients were migrated, in order."""
         return [migration.request_id for migration in self.actions_of_type(MigrateClient)]
 
 
 class LoadedServer(NamedTuple):
-    """A driver with two servers of which the first holds ten connections."""
+    """A driver with two servers, the first of which has ten connections."""
 
     driver: Driver
-    connections: list[int]  #: request ids; each connection is costlier than the one before
+    connections: list[int]  #: Request ids in order of increasing load of their connections
 
 
 def driver_with_loaded_server() -> LoadedServer:
-    """Two servers; the first holds ten connections, each costlier than the one before."""
+    """Return a driver with two servers; the first has ten connections of increasing load."""
     driver = Driver(BASE_SETTINGS, servers=server_entries(2))
     connections = [driver.add_connection(1) for _ in range(10)]
     for index, request_id in enumerate(connections):
--- a/tests/policy_tier.py
+++ b/tests/policy_tier.py
@@ -1,4 +1,4 @@
-"""A tier of nodes in tests: policy drivers that exchange datagrams, beside servers that report their load."""
+"""A tier of nodes in tests: policy drivers that exchange datagrams, and servers that report their load."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 class Tier:
     """Nodes that receive each other's datagrams one step late, and servers that report `load`.
 
-    Each node holds one connection when it starts.
+    Each node starts with one connection.
     """
 
     def __init__(self, settings: Settings = TIER_SETTINGS, load: float = 0.5) -> None:
@@ -52,7 +52,7 @@
             node.add_connection(1 + node.settings.node_index % len(SERVERS))
 
     def run(self, duration_us: int) -> None:
-        """Let time pass at all nodes, in steps of STEP_US."""
+        """Advance the clocks of all nodes in steps of STEP_US."""
         for _ in range(duration_us // STEP_US):
             sent = self._run_step()
             self.datagrams += len(sent)
@@ -89,7 +89,7 @@
                     node.deliver(message)
 
     def restart_node(self, index: int, seed: int) -> Driver:
-        """Replace a node by one that has the endpoint list of before and nothing else."""
+        """Replace a node by one whose only state is the endpoint list."""
         previous = self.nodes[index]
         node = Driver(previous.settings, seed)
         node.now_us = previous.now_us
@@ -99,7 +99,7 @@
         return node
 
     def connect_clients(self, node_indexes: range, clients_per_node: int) -> list[TierRequest]:
-        """Let so many clients request a connection at each of these nodes, spread over a second."""
+        """Send `clients_per_node` requests to each of these nodes, spread over a second."""
         requests: list[TierRequest] = []
         for _ in range(clients_per_node):
             for index in node_indexes:
@@ -118,13 +118,13 @@
                 node.add_connection(1)
 
     def informed_nodes(self) -> int:
-        """Return the number of running nodes that know the load of every server."""
+        """Return the number of running nodes that have an estimate of every server's load."""
         return sum(
             knows_all_loads(node) for index, node in enumerate(self.nodes) if index not in self.stopped_nodes
         )
 
 
 def knows_all_loads(node: Driver) -> bool:
-    """Whether a node has an estimate of every ready server's load."""
+    """Return whether a node has an estimate of every ready server's load."""
     loads = node.balancer.loads
     return all(loads.estimate(server, node.now_us) is not None for server in node.balancer.registry.ready)
