--- a/harness/slow_start_plays.py
+++ b/harness/slow_start_plays.py
@@ -27,10 +27,10 @@
     rejections: int
 
 
-def run_play(play: Play) -> Outcome:
+def run_play(case: Play) -> Outcome:
     """Warm up a fleet, then run the fault."""
-    fleet = make_fleet(SETUPS[play.setup], play.seed)
+    fleet = make_fleet(SETUPS[case.setup], case.seed)
     requests = fleet.requests
     rejections = fleet.rejections
-    FAULTS_BY_NAME[play.fault](fleet)
+    FAULTS_BY_NAME[case.fault](fleet)
     return Outcome(fleet.excess(), fleet.requests - requests, fleet.rejections - rejections)
