--- a/harness/slow_start_plays.py
+++ b/harness/slow_start_plays.py
@@ -11,7 +11,7 @@
 FAULTS_BY_NAME = {fault.__name__: fault for fault in FAULTS}
 
 
-class Play(NamedTuple):
+class FaultCase(NamedTuple):
     """A fault in a fleet, both given by name."""
 
     setup: str
@@ -27,7 +27,7 @@
     rejections: int
 
 
-def run_play(case: Play) -> Outcome:
+def run_play(case: FaultCase) -> Outcome:
     """Warm up a fleet, then run the fault."""
     fleet = make_fleet(SETUPS[case.setup], case.seed)
     requests = fleet.requests
--- a/tests/test_slow_start_faults.py
+++ b/tests/test_slow_start_faults.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from harness.slow_start_plays import FAULTS_BY_NAME, Outcome, Play, run_play
+from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_play
 from harness.slow_start_setup import SETUPS
 
-PLAYS = [Play(setup, fault, seed=1) for setup in SETUPS for fault in FAULTS_BY_NAME]
+PLAYS = [FaultCase(setup, fault, seed=1) for setup in SETUPS for fault in FAULTS_BY_NAME]
 
 
 @pytest.fixture(scope="module")
-def outcomes() -> Iterator[dict[Play, Future[Outcome]]]:
+def outcomes() -> Iterator[dict[FaultCase, Future[Outcome]]]:
     """The outcomes of all simulations, which run in parallel."""
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
         yield {play: pool.submit(run_play, play) for play in PLAYS}
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("play", PLAYS, ids=lambda play: f"{play.setup}-{play.fault}")
 def test_servers_in_slow_start_are_not_overloaded_during_faults(
-    outcomes: dict[Play, Future[Outcome]], play: Play
+    outcomes: dict[FaultCase, Future[Outcome]], play: FaultCase
 ) -> None:
     """Guards against issue 33: more than N + 2 * sqrt(N) + 2 requests in a window (N < 30: 3, 3)."""
     outcome = outcomes[play].result()
