--- a/bench/slow_start_soak.py
+++ b/bench/slow_start_soak.py
@@ -11,7 +11,7 @@
 import argparse
 from concurrent.futures import ProcessPoolExecutor
 
-from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_play
+from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_fault_case
 from harness.slow_start_setup import SETUPS
 
 
@@ -31,7 +31,7 @@
     total = 0
     with ProcessPoolExecutor(options.workers) as pool:
         runs = [FaultCase(setup, fault, seed) for setup, fault in cases for seed in seeds]
-        outcomes = list(pool.map(run_play, runs))
+        outcomes = list(pool.map(run_fault_case, runs))
     for number, (setup, fault) in enumerate(cases):
         case_outcomes = outcomes[number * len(seeds) : (number + 1) * len(seeds)]
         total += sum(outcome.excess.worst > 1 for outcome in case_outcomes)
--- a/harness/slow_start_plays.py
+++ b/harness/slow_start_plays.py
@@ -27,7 +27,7 @@
     rejections: int
 
 
-def run_play(case: FaultCase) -> Outcome:
+def run_fault_case(case: FaultCase) -> Outcome:
     """Warm up a fleet, then run the fault."""
     fleet = make_fleet(SETUPS[case.setup], case.seed)
     requests = fleet.requests
--- a/tests/test_slow_start_faults.py
+++ b/tests/test_slow_start_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_play
+from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_fault_case
 from harness.slow_start_setup import SETUPS
 
 PLAYS = [FaultCase(setup, fault, seed=1) for setup in SETUPS for fault in FAULTS_BY_NAME]
@@ -18,7 +18,7 @@
 def outcomes() -> Iterator[dict[FaultCase, Future[Outcome]]]:
     """The outcomes of all simulations, which run in parallel."""
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield {play: pool.submit(run_play, play) for play in PLAYS}
+        yield {play: pool.submit(run_fault_case, play) for play in PLAYS}
 
 
 @pytest.mark.parametrize("play", PLAYS, ids=lambda play: f"{play.setup}-{play.fault}")
