--- a/bench/slow_start_candidates.py
+++ b/bench/slow_start_candidates.py
@@ -31,7 +31,7 @@
 
 LARGE = FleetSetup(node_count=200)
 SMALL = FleetSetup(node_count=30)
-MORE_PROCESSES = FleetSetup(node_count=200, told_node_count=100)
+MORE_PROCESSES = FleetSetup(node_count=200, configured_node_count=100)
 
 CASES = [
     Case("A", "rolling restart, servers and nodes", LARGE, faults.rolling_restart),
--- a/harness/slow_start_setup.py
+++ b/harness/slow_start_setup.py
@@ -38,7 +38,7 @@
     server_count: int = 90
     connections_per_second: float = 120.0  #: Total over all nodes
     load: float = 0.85  #: Utilization of warm servers before the fault
-    told_node_count: int = 0  #: Node count in the settings, if it differs from the actual one
+    configured_node_count: int = 0  #: Node count in the settings, if it differs from the actual one
 
 
 SETUPS = {
@@ -56,7 +56,7 @@
     rng = Random(seed)
     weights = [rng.lognormvariate(0, RATE_SIGMA) for _ in range(setup.node_count)]
     rates = [setup.connections_per_second * weight / sum(weights) for weight in weights]
-    settings = replace(SETTINGS, node_count=setup.told_node_count or setup.node_count)
+    settings = replace(SETTINGS, node_count=setup.configured_node_count or setup.node_count)
     fleet = SlowStartFleet(settings, rates, setup.server_count, setup.load, MEAN_CONNECTION_SECONDS, seed)
     fleet.run(WARM_SECONDS)
     return fleet
