--- a/harness/many_hosts_soak.py
+++ b/harness/many_hosts_soak.py
@@ -138,7 +138,7 @@
     async def _signal_starting_node(self, node: NodeProcess, library: Path) -> None:
         """Send a node a series of reload signals during startup, and possibly stop it."""
         await node.kill()
-        process = await node.launch_as_operators_do()
+        process = await node.launch_with_deploy_command()
         for _ in range(self._rng.randint(1, 20)):
             if process.returncode is None:
                 process.send_signal(self._rng.choice([signal.SIGHUP, signal.SIGUSR1]))
--- a/harness/node_process.py
+++ b/harness/node_process.py
@@ -80,7 +80,7 @@
         self.reading = asyncio.create_task(self._read_log(process, self._serving))
         return process
 
-    async def launch_as_operators_do(self) -> asyncio.subprocess.Process:
+    async def launch_with_deploy_command(self) -> asyncio.subprocess.Process:
         """Start a process with the command of the deploy file; its log is read in the background.
 
         Returns after the shell has executed the program, so that signals reach the program.
--- a/tests/test_start_with_many_hosts.py
+++ b/tests/test_start_with_many_hosts.py
@@ -122,7 +122,7 @@
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
-        process = await node.launch_as_operators_do()
+        process = await node.launch_with_deploy_command()
         for _ in range(50):
             if process.returncode is None:
                 process.send_signal(number)
@@ -138,7 +138,7 @@
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
-        process = await node.launch_as_operators_do()
+        process = await node.launch_with_deploy_command()
         await asyncio.sleep(delay_seconds)
         process.send_signal(signal.SIGTERM)
         exit_code = await asyncio.wait_for(process.wait(), STOP_SECONDS)
