--- a/tests/policy_tier.py
+++ b/tests/policy_tier.py
@@ -120,11 +120,11 @@
     def informed_nodes(self) -> int:
         """Return the number of running nodes that have an estimate of every server's load."""
         return sum(
-            knows_all_loads(node) for index, node in enumerate(self.nodes) if index not in self.stopped_nodes
+            has_all_loads(node) for index, node in enumerate(self.nodes) if index not in self.stopped_nodes
         )
 
 
-def knows_all_loads(node: Driver) -> bool:
+def has_all_loads(node: Driver) -> bool:
     """Return whether a node has an estimate of every ready server's load."""
     loads = node.balancer.loads
     return all(loads.estimate(server, node.now_us) is not None for server in node.balancer.registry.ready)
--- a/tests/test_policy_fleet.py
+++ b/tests/test_policy_fleet.py
@@ -20,7 +20,7 @@
 from limerudder.policy.records import SECOND
 from tests.node_testbed import node_testbed
 from tests.policy_driver import Driver, server_entry
-from tests.policy_tier import NODE_COUNT, SERVERS, TIER_SETTINGS, Tier, knows_all_loads
+from tests.policy_tier import NODE_COUNT, SERVERS, TIER_SETTINGS, Tier, has_all_loads
 
 
 def test_nodes_that_restart_together_with_a_cached_list_serve_from_it_and_spread_requests() -> None:
@@ -159,7 +159,7 @@
     for _ in range(6):
         tier.connect_clients(range(3, 4), 1)
     node = tier.nodes[3]
-    assert knows_all_loads(node)
+    assert has_all_loads(node)
     assert len(node.actions_of_type(CheckHealth)) <= 2 * len(SERVERS)
 
 
