--- a/tests/policy_tier.py
+++ b/tests/policy_tier.py
@@ -117,7 +117,7 @@
             for _ in range(connections_per_node):
                 node.add_connection(1)
 
-    def informed_nodes(self) -> int:
+    def nodes_with_all_loads(self) -> int:
         """Return the number of running nodes that have an estimate of every server's load."""
         return sum(
             has_all_loads(node) for index, node in enumerate(self.nodes) if index not in self.stopped_nodes
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -28,7 +28,7 @@
     """Without gossip 40 nodes polled 520 times in 25 s and had the loads of two servers of twelve."""
     tier = Tier()
     tier.run(20 * SECOND)
-    assert tier.informed_nodes() == NODE_COUNT
+    assert tier.nodes_with_all_loads() == NODE_COUNT
     round_interval_us = tier.nodes[0].balancer.gossip.round_interval_us
     assert tier.datagrams <= 20 * SECOND / round_interval_us + 2
     assert tier.health_checks <= len(SERVERS) * (tier.datagrams + 1)
@@ -41,7 +41,7 @@
     datagrams_before = tier.datagrams
     tier.run(30 * SECOND)
     assert tier.datagrams - datagrams_before >= 2
-    assert tier.informed_nodes() == NODE_COUNT - 14
+    assert tier.nodes_with_all_loads() == NODE_COUNT - 14
 
 
 def test_a_node_without_messages_from_peers_polls_for_itself() -> None:
@@ -58,7 +58,7 @@
     restarted = tier.restart_node(3, seed=99)
     tier.run(tier.nodes[0].balancer.gossip.round_interval_us + SECOND)
     assert len(restarted.actions_of_type(SendPeerMessage)) <= 1
-    assert tier.informed_nodes() == NODE_COUNT
+    assert tier.nodes_with_all_loads() == NODE_COUNT
 
 
 def test_a_tier_of_few_nodes_has_no_gossip() -> None:
