--- a/harness/slow_start_plays.py
+++ b/harness/slow_start_plays.py
@@ -1,4 +1,4 @@
-"""Plays of one fault in one simulated fleet, which may run in processes of their own."""
+"""Runs one fault in one simulated fleet; cases and outcomes can be passed between processes."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 FAULTS_BY_NAME = {fault.__name__: fault for fault in FAULTS}
 
 
-class Play(NamedTuple):
-    """A fault in a fleet, by their names."""
+class FaultCase(NamedTuple):
+    """A fault in a fleet, both given by name."""
 
     setup: str
     fault: str
@@ -20,17 +20,17 @@
 
 
 class Outcome(NamedTuple):
-    """What a play showed from the fault's beginning on."""
+    """Results from the beginning of the fault on."""
 
     excess: Excess
     requests: int
     rejections: int
 
 
-def run_play(play: Play) -> Outcome:
-    """Let a fleet serve for a while and then undergo the fault."""
-    fleet = make_fleet(SETUPS[play.setup], play.seed)
+def run_fault_case(case: FaultCase) -> Outcome:
+    """Warm up a fleet, then run the fault."""
+    fleet = make_fleet(SETUPS[case.setup], case.seed)
     requests = fleet.requests
     rejections = fleet.rejections
-    FAULTS_BY_NAME[play.fault](fleet)
+    FAULTS_BY_NAME[case.fault](fleet)
     return Outcome(fleet.excess(), fleet.requests - requests, fleet.rejections - rejections)
