--- a/limerudder/store/calls.py
+++ b/limerudder/store/calls.py
@@ -1,6 +1,6 @@
-"""Types of the calls that clients make on a member: the callbacks, and the ways in which a call fails.
+"""Callback types and failures of the calls that clients make to a member.
 
-Every callback gets the time, in microseconds of the member's clock, as its last argument.
+Every callback receives the time, in microseconds of the member's clock, as its last argument.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class CallFailureKind(StrEnum):
-    """Why a call was not carried out; the values are those of the control socket's protocol."""
+    """Reason why a call failed; the values are part of the control socket's protocol."""
 
-    REFUSED = "refused"  #: the request is invalid
-    BUSY = "busy"  #: too many requests are pending
-    NOT_NOW = "not_now"  #: no leader, or no reply before the deadline
-    NOT_THERE = "not_there"  #: the key or member does not exist
+    REFUSED = "refused"  #: The request is invalid
+    BUSY = "busy"  #: Too many requests are pending
+    NOT_NOW = "not_now"  #: There is no leader, or no reply arrived before the deadline
+    NOT_THERE = "not_there"  #: The key or member does not exist
 
 
 class CallFailure(NamedTuple):
-    """A call that failed; with `outcome_unknown` the request may have been carried out, or may be yet."""
+    """A failed call; if `outcome_unknown`, the request may have been carried out or may still be."""
 
     kind: CallFailureKind
     text: str
@@ -30,6 +30,6 @@
 
 
 TimeCallback = Callable[[int], None]
-ReplyCallback = Callable[[bytes | CallFailure, int], None]  #: gets the data of the leader's reply
+ReplyCallback = Callable[[bytes | CallFailure, int], None]  #: Receives the data of the leader's reply
 ResultCallback = Callable[[CommandResult | CallFailure, int], None]
-ReadCallback = Callable[[CallFailure | None, int], None]  #: gets None once the read may go on
+ReadCallback = Callable[[CallFailure | None, int], None]  #: Receives None once the read may proceed
--- a/limerudder/store/cli.py
+++ b/limerudder/store/cli.py
@@ -1,6 +1,6 @@
 """The commands `limerudder state …`, which administer the replicated store.
 
-Those here call the node that runs on a data directory; `cli_offline` has those for directories without one.
+These commands call the node that runs on a data directory; those of `cli_offline` need no running node.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     + "  limerudder state --folder /var/lib/limerudder/n0 status\n  limerudder state --json members",
     context_settings={"help_option_names": ["-h", "--help"]},
 )
-@click.option("--folder", envvar="LIMERUDDER_STATE", type=click.Path(), help="This node's store.")
-@click.option("--wait", default=5.0, type=click.FloatRange(0.1, 600), help="Seconds for an answer.")
+@click.option("--folder", envvar="LIMERUDDER_STATE", type=click.Path(), help="Data directory of this node.")
+@click.option("--wait", default=5.0, type=click.FloatRange(0.1, 600), help="Seconds to wait for an answer.")
 @click.option("--json", "as_json", is_flag=True, help="Print JSON, one object.")
 @click.pass_context
 def state(ctx: click.Context, folder: str | None, wait: float, as_json: bool) -> None:
-    """Administer the replicated store: through the node that runs on --folder, or folders without a node."""
+    """Administer the replicated store, through the node that runs on --folder or on offline directories."""
     ctx.obj = CommandSession(os.path.abspath(folder) if folder else None, wait, as_json)
 
 
@@ -48,7 +48,7 @@
 @state.command(epilog=EXAMPLES + "  limerudder state members")
 @pass_session
 def members(session: CommandSession) -> None:
-    """Print who the members are, who leads, and how far each is."""
+    """Print the members, which of them leads, and the replication progress of each."""
     answer = session.call("members")
     session.show(answer, answer["members"])
 
@@ -56,7 +56,7 @@
 @state.command(epilog=EXAMPLES + "  limerudder state hosts")
 @pass_session
 def hosts(session: CommandSession) -> None:
-    """Print what this node knows of hosts: drained, held, put back; agreed on or not yet."""
+    """Print this node's records of hosts: drains, holds, returns; and whether the members agreed on each."""
     answer = session.call("hosts")
     session.show(answer, answer["hosts"])
 
@@ -65,8 +65,10 @@
     epilog=EXAMPLES + "  limerudder state get config/log\n  limerudder state get --prefix hosts/ --stale"
 )
 @click.argument("key")
-@click.option("--prefix", is_flag=True, help="All keys that begin so.")
-@click.option("--stale", is_flag=True, help="Ask this member alone: quick, without a quorum, maybe old.")
+@click.option("--prefix", is_flag=True, help="Read all keys that begin with KEY.")
+@click.option(
+    "--stale", is_flag=True, help="Read from this member only: fast, without a quorum, possibly outdated."
+)
 @pass_session
 def get(session: CommandSession, key: str, prefix: bool, stale: bool) -> None:
     """Read a key."""
@@ -86,17 +88,17 @@
 )
 @click.argument("key")
 @click.argument("value")
-@click.option("--modified", type=int, help="Only where this was its last change's revision; 0: only if new.")
+@click.option("--modified", type=int, help="Only if this is the revision of its last change; 0: only if new.")
 @pass_session
 def put(session: CommandSession, key: str, value: str, modified: int | None) -> None:
-    """Set a key. VALUE `-` is read from standard input."""
+    """Set a key. If VALUE is `-`, the value is read from standard input."""
     text = sys.stdin.read() if value == READ_STANDARD_INPUT else value
     session.show_write(session.call("put", key=key, value=text, **without_none(modified=modified)))
 
 
 @state.command(epilog=EXAMPLES + "  limerudder state delete kv/x")
 @click.argument("key")
-@click.option("--modified", type=int, help="Only where this was its last change's revision.")
+@click.option("--modified", type=int, help="Only if this is the revision of its last change.")
 @pass_session
 def delete(session: CommandSession, key: str, modified: int | None) -> None:
     """Remove a key."""
@@ -105,11 +107,11 @@
 
 @state.command(epilog=EXAMPLES + "  limerudder state watch config/\n  limerudder state watch '' --after 12")
 @click.argument("prefix", default="")
-@click.option("--after", type=int, help="Changes after this revision; else from now on.")
-@click.option("--most", "max_changes", type=int, help="End after so many changes.")
+@click.option("--after", type=int, help="Print changes after this revision; by default, new changes.")
+@click.option("--most", "max_changes", type=int, help="Exit after this number of changes.")
 @pass_session
 def watch(session: CommandSession, prefix: str, after: int | None, max_changes: int | None) -> None:
-    """Print changes as they come, a JSON object a line."""
+    """Print changes as they occur, one JSON object per line."""
     try:
         with session.connect() as client:
             answer = client.call("watch", prefix=prefix, **without_none(after=after))
@@ -127,10 +129,10 @@
 @state.command(epilog=EXAMPLES + "  limerudder state add n4 10.0.0.8:7950")
 @click.argument("name")
 @click.argument("address")
-@click.option("--learner", is_flag=True, help="Receives everything and never votes.")
+@click.option("--learner", is_flag=True, help="Add a learner: it receives all entries and never votes.")
 @pass_session
 def add(session: CommandSession, name: str, address: str, learner: bool) -> None:
-    """Add a member, and print the ticket that its folder is made from."""
+    """Add a member, and print the ticket from which its data directory is created."""
     session.show(session.call("add", member=name, address=address, learner=learner))
 
 
@@ -138,7 +140,7 @@
 @click.argument("name")
 @pass_session
 def remove(session: CommandSession, name: str) -> None:
-    """Remove a member for good: its folder is of no use afterwards."""
+    """Remove a member permanently: its data directory cannot be used afterwards."""
     session.call("remove", member=name)
     session.show({"removed": name})
 
@@ -147,7 +149,7 @@
 @click.argument("name")
 @pass_session
 def transfer(session: CommandSession, name: str) -> None:
-    """Have a member lead, before work on the leader's machine."""
+    """Transfer the leadership to a member, for example before work on the leader's machine."""
     session.call("transfer", member=name)
     session.show({"asked_to_lead": name})
 
@@ -156,5 +158,5 @@
 @click.argument("path", type=click.Path())
 @pass_session
 def backup(session: CommandSession, path: str) -> None:
-    """Write all records into a file of the node's machine."""
+    """Write all records to a file on the node's machine."""
     session.show(session.call("backup", path=os.path.abspath(path)))
--- a/limerudder/store/cli_offline.py
+++ b/limerudder/store/cli_offline.py
@@ -1,4 +1,4 @@
-"""The commands of `limerudder state` that work on data directories while no node runs on them."""
+"""The commands of `limerudder state` that operate on data directories without a running node."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 )
 @click.argument("folder", type=click.Path())
 @click.argument("members", nargs=-1)
-@click.option("--ticket", help="Make one new member's folder, with what `state add` has printed.")
+@click.option("--ticket", help="Create one new member's data directory from the ticket of `state add`.")
 @pass_session
 def init(session: CommandSession, folder: str, members: tuple[str, ...], ticket: str | None) -> None:
-    """Begin a cluster, or make a new member's folder.
+    """Create a cluster, or a new member's data directory.
 
-    A cluster begins with a folder for each member under FOLDER, to be moved to its own machine: nothing runs
-    yet.
+    For a cluster, creates one data directory per member under FOLDER; each is to be moved to that member's
+    machine. No node is started.
     """
     from limerudder.store.data_directory import init_cluster, join_cluster
 
     if bool(ticket) == bool(members):
-        fail("say the first members as NAME=ADDRESS, or --ticket", ExitCode.INVALID_INPUT)
+        fail("pass either the initial members as NAME=ADDRESS or --ticket", ExitCode.INVALID_INPUT)
     if ticket:
         member = run_offline(join_cluster, folder, ticket)
         session.show({"name": member.name, "listen": member.address, "folder": folder})
@@ -51,7 +51,7 @@
 @click.argument("members", nargs=-1, required=True)
 @pass_session
 def restore(session: CommandSession, path: str, folder: str, members: tuple[str, ...]) -> None:
-    """Begin a new cluster with a backup's records; as with `init`, a folder for each member."""
+    """Create a new cluster with a backup's records; like `init`, with a data directory for each member."""
     from limerudder.store.data_directory import restore_backup
 
     directories = run_offline(restore_backup, folder, path, _parse_members(members))
@@ -60,13 +60,13 @@
 
 @click.command(epilog=EXAMPLES + "  limerudder state recover /var/lib/limerudder/n0 --do-it")
 @click.argument("folder", type=click.Path())
-@click.option("--do-it", is_flag=True, help="Without this the command only prints what would be lost.")
+@click.option("--do-it", is_flag=True, help="Without this option the command only prints what would be lost.")
 @pass_session
 def recover(session: CommandSession, folder: str, do_it: bool) -> None:
-    """Begin a new cluster of one member after a quorum is lost for good.
+    """Create a new cluster of one member after a quorum has been lost permanently.
 
-    The member becomes a cluster of its own with all that it has. Other members' folders are of no use
-    afterwards.
+    The member keeps all its records and becomes the only member. Other members' data directories cannot be
+    used afterwards.
     """
     import msgspec
 
@@ -79,9 +79,11 @@
     for line in _describe_loss(loss):
         click.echo(line)
     if do_it:
-        click.echo(f"Done: {loss.name} is a cluster of its own. Start it, then add members one by one.")
+        click.echo(
+            f"Done: {loss.name} is the only member of its cluster. Start it, then add members one by one."
+        )
     else:
-        click.echo("Nothing was done. Say --do-it to do it.")
+        click.echo("Nothing was done. Run the command with --do-it to recover.")
 
 
 def _parse_members(arguments: Sequence[str]) -> list[MemberAddress]:
@@ -100,7 +102,7 @@
     else:
         is_valid = bool(name and separator)
     if not is_valid:
-        fail(f"{argument} stands here, expected NAME=IPv4:PORT", ExitCode.INVALID_INPUT)
+        fail(f"{argument}: expected NAME=IPv4:PORT", ExitCode.INVALID_INPUT)
     return MemberAddress(name, address)
 
 
@@ -111,11 +113,11 @@
 def _describe_loss(loss: DataLoss) -> list[str]:
     others = ", ".join(loss.other_members) or "nobody else"
     return [
-        f"{loss.name} has all entries up to {loss.last_index}; its snapshot stands at {loss.snapshot_index}.",
+        f"{loss.name} has all entries up to {loss.last_index}; its snapshot ends at {loss.snapshot_index}.",
         f"May be lost: every write acknowledged after entry {loss.last_index} by a quorum without"
         f" {loss.name}.",
-        f"  {others} may have more: look at each folder that is left, and recover the one with the most.",
-        f"May come back: the last {loss.uncertain_entries} entries, of which some may never have been"
+        f"  {others} may have more: inspect each remaining directory, and recover the one with the most.",
+        f"May reappear: the last {loss.uncertain_entries} entries, of which some may never have been"
         f" acknowledged.",
-        "Lost in any case: sessions of writers that wait for an answer with the other members.",
+        "Lost in any case: sessions of writers that are waiting for an answer from another member.",
     ]
--- a/limerudder/store/cli_session.py
+++ b/limerudder/store/cli_session.py
@@ -1,4 +1,4 @@
-"""What the commands of `limerudder state` share: calls to the running node, output, and failing."""
+"""Shared parts of the commands of `limerudder state`: calls to the running node, output, and failures."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 COLUMN_SEPARATOR = "  "
 OUTCOME_UNKNOWN_KIND = "unsure"
 
-#: by the kind of a control call's error
+#: Exit codes by the error kind of a control call
 EXIT_CODES = {
     "wrong": ExitCode.INVALID_INPUT,
     "refused": ExitCode.REJECTED,
@@ -36,7 +36,7 @@
 
 
 class CommandSession:
-    """The options that all commands take, and what they do with them."""
+    """The options that all commands share, and the operations that depend on them."""
 
     def __init__(self, directory: str | None, wait_seconds: float, as_json: bool) -> None:
         self.as_json = as_json
@@ -45,12 +45,12 @@
 
     @contextmanager
     def connect(self) -> Iterator[ControlClient]:
-        """Give a connection to the node; ends the process if there is none."""
+        """Provide a connection to the node; ends the process if no node runs."""
         from limerudder.store.client import ControlClient, ControlUnavailableError
 
         if not self._directory:
             fail(
-                "say --folder, or set LIMERUDDER_STATE: the folder of this node's store",
+                "pass --folder or set LIMERUDDER_STATE: the data directory of this node",
                 ExitCode.INVALID_INPUT,
             )
         try:
@@ -60,27 +60,27 @@
             fail(str(error), ExitCode.UNAVAILABLE)
 
     def call(self, name: str, **arguments: Any) -> JsonObject:
-        """Make a call to the node and return its answer; ends the process if it was not carried out."""
+        """Make a call to the node and return its answer; ends the process if the call failed."""
         with self.connect() as client:
             answer = client.call(name, **arguments)
         self.require_ok(answer)
         return answer
 
     def require_ok(self, answer: JsonObject) -> None:
-        """Take `ok` out of an answer; ends the process if the call was not carried out."""
+        """Remove `ok` from an answer; ends the process if the call failed."""
         if not answer.pop("ok"):
             self.fail_with(answer)
 
     def fail_with(self, answer: JsonObject) -> NoReturn:
-        """End the process with the error of a call that was not carried out."""
+        """End the process with the error of a failed call."""
         if self.as_json:
             click.echo(json.dumps(answer))
         kind = answer["kind"]
-        suffix = "; it may have been done" if kind == OUTCOME_UNKNOWN_KIND else ""
+        suffix = "; the call may have been carried out" if kind == OUTCOME_UNKNOWN_KIND else ""
         fail(answer["error"] + suffix, EXIT_CODES.get(kind, ExitCode.FAILED))
 
     def show(self, answer: JsonObject, rows: Sequence[JsonObject] | None = None) -> None:
-        """Print an answer: as JSON, as a table of rows, or one line for each field."""
+        """Print an answer as JSON, as a table of rows, or as one line per field."""
         if self.as_json:
             click.echo(json.dumps(answer))
         elif rows is not None:
@@ -90,23 +90,23 @@
                 click.echo(f"{name:<{LABEL_COLUMNS}} {value}")
 
     def show_write(self, answer: JsonObject) -> None:
-        """Print the answer to a write; ends the process if its comparison did not hold."""
+        """Print the answer to a write; ends the process if its comparison failed."""
         self.show(answer, [{"revision": answer["revision"], "done": answer["done"]}])
         if not answer["done"]:
             revision = answer["items"][0].get("modified", 0)
-            fail(f"nothing was done: its last change is revision {revision}", ExitCode.REJECTED)
+            fail(f"nothing was done: the key's last change is revision {revision}", ExitCode.REJECTED)
 
 
 pass_session = click.make_pass_decorator(CommandSession)
 
 
 def without_none(**arguments: Any) -> JsonObject:
-    """Return the arguments that have a value."""
+    """Return the arguments that are not None."""
     return {name: value for name, value in arguments.items() if value is not None}
 
 
 def format_table(rows: Sequence[Mapping[str, Any]]) -> str:
-    """Return rows as columns, each as wide as its widest cell, under the names of their fields."""
+    """Return rows as a table with field names as headings; columns are as wide as their widest cell."""
     if not rows:
         return ""
     names = list(dict.fromkeys(name for row in rows for name in row))
--- a/limerudder/store/client.py
+++ b/limerudder/store/client.py
@@ -1,4 +1,4 @@
-"""A blocking client of the control socket: one call, one answer."""
+"""A blocking client of the control socket, with one call at a time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 MILLISECONDS_PER_SECOND = 1000
-SOCKET_TIMEOUT_MARGIN_SECONDS = 2  #: beyond the wait that a call asks for
+SOCKET_TIMEOUT_MARGIN_SECONDS = 2  #: Time added to a call's requested wait
 
 
 class ControlUnavailableError(Exception):
@@ -27,7 +27,7 @@
     """A connection to the member that runs on a data directory."""
 
     def __init__(self, directory: str, wait_seconds: float = 5.0) -> None:
-        """Connect; `wait_seconds` is how long calls wait for their answer. Raises ControlUnavailableError."""
+        """Connect; `wait_seconds` is the time limit of each call. Raises ControlUnavailableError."""
         self._wait_seconds = wait_seconds
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self._socket.settimeout(wait_seconds + SOCKET_TIMEOUT_MARGIN_SECONDS)
@@ -42,7 +42,7 @@
         self._reader = self._socket.makefile("rb")
 
     def call(self, name: str, **arguments: Any) -> JsonObject:
-        """Make a call and return its answer, whether `ok` or not."""
+        """Make a call and return its answer, which may be an error."""
         wait_ms = int(self._wait_seconds * MILLISECONDS_PER_SECOND)
         try:
             self._socket.sendall(encode_line({"call": name, "wait_ms": wait_ms, **arguments}))
@@ -53,7 +53,7 @@
             return error_answer(ControlErrorKind.OUTCOME_UNKNOWN, f"the node has gone: {error.strerror}")
 
     def changes(self) -> Iterator[JsonObject]:
-        """Yield what follows the answer to a watch, without a timeout, to the first that is not `ok`."""
+        """Yield the changes of a watch, without a timeout, up to and including the first that is not `ok`."""
         self._socket.settimeout(None)
         while True:
             answer = self._read_answer()
--- a/limerudder/store/client_calls.py
+++ b/limerudder/store/client_calls.py
@@ -1,4 +1,4 @@
-"""Requests of this member's clients that wait for the leader's reply."""
+"""Requests of this member's clients that are waiting for the leader's reply."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from limerudder.store.raft.state import NO_LEADER
 from limerudder.store.rpc import Reply, ReplyStatus, Request, RequestKind
 
-#: sends a request to the leader: the leader's identifier, the request, and the time in microseconds
+#: Sends a request to the leader; receives the leader's identifier, the request, and the time in microseconds
 RequestSender = Callable[[int, Request, int], None]
 
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A request that waits for its reply."""
+    """A request that is waiting for its reply."""
 
     request: Request
     deadline_us: int
     callback: ReplyCallback
-    sent_at_us: int = 0  # when it was last sent
-    sent_to: int = NO_LEADER  # the member that it was last sent to
-    was_sent: bool = False  # at least once, so that it may have been carried out
+    sent_at_us: int = 0  # Time of the last transmission
+    sent_to: int = NO_LEADER  # Member that received the last transmission
+    was_sent: bool = False  # Sent at least once, so that it may have been carried out
 
     def timeout_failure(self, leader_id: int) -> CallFailure:
-        """Returns the failure to report once the deadline has passed."""
+        """Returns the failure that is reported once the deadline has passed."""
         text = "no answer came in time" if leader_id else "nobody leads"
         changes_state = self.request.kind != RequestKind.READ_INDEX
         return CallFailure(CallFailureKind.NOT_NOW, text, outcome_unknown=self.was_sent and changes_state)
@@ -36,13 +36,13 @@
     """Sends requests to the leader and retries them until a reply arrives or the deadline passes."""
 
     def __init__(self, raft: Raft, send: RequestSender, max_pending: int, first_number: int) -> None:
-        """`first_number` must differ between processes: late replies to an earlier one may still arrive."""
+        """`first_number` must differ between processes: replies to an earlier process may still arrive."""
         self._raft = raft
         self._send_request = send
         self._max_pending = max_pending
         self._next_number = first_number
-        self._pending: dict[int, PendingCall] = {}  # by the request's number
-        self._resent_to = raft.leader_id  # the leader that all pending calls have been sent to
+        self._pending: dict[int, PendingCall] = {}  # Calls by request number
+        self._resent_to = raft.leader_id  # Leader to which all pending calls have been sent
 
     def __len__(self) -> int:
         """The number of pending calls."""
@@ -51,7 +51,7 @@
     def submit(
         self, kind: RequestKind, data: bytes, deadline_us: int, callback: ReplyCallback, now_us: int
     ) -> None:
-        """Sends a request to the leader; the callback is called once, by the deadline at the latest."""
+        """Sends a request to the leader; calls back exactly once, no later than the deadline."""
         if len(self._pending) >= self._max_pending:
             failure = CallFailure(CallFailureKind.BUSY, f"{len(self._pending)} wishes wait already")
             callback(failure, now_us)
@@ -72,7 +72,7 @@
         self._send_request(leader_id, call.request, now_us)
 
     def handle_reply(self, reply: Reply, now_us: int) -> None:
-        """Ends the call that a reply belongs to; a call that did not reach the leader is retried later."""
+        """Completes the call of a reply; a call that did not reach the leader is retried later."""
         call = self._pending.get(reply.number)
         if call is None or reply.status == ReplyStatus.NOT_LEADER:
             return
@@ -87,8 +87,8 @@
     def tick(self, in_progress_here: Set[int], now_us: int) -> None:
         """Fails calls whose deadline has passed, and retries those that may have been lost.
 
-        A request or its reply may be lost on the way or with its leader; the session of a write keeps a retry
-        from being applied twice. `in_progress_here`: the requests that this member itself is working on.
+        A request or its reply may be lost in transit or with the leader; a write's session prevents a retry
+        from being applied twice. `in_progress_here`: numbers of the requests being processed by this member.
         """
         for call in list(self._pending.values()):
             if now_us >= call.deadline_us:
@@ -106,7 +106,7 @@
         return call.sent_at_us + self._raft.timing.election_timeout_us
 
     def resend_after_leader_change(self, now_us: int) -> None:
-        """Sends all pending calls to a new leader at once, without waiting for the next tick."""
+        """Sends all pending calls to a new leader immediately, without waiting for the next tick."""
         if self._raft.leader_id == self._resent_to:
             return
         self._resent_to = self._raft.leader_id
@@ -114,6 +114,6 @@
             self._send(call, now_us)
 
     def deadlines_us(self) -> Iterator[int]:
-        """Yields the times at which `tick` has to look at a pending call."""
+        """Yields the times at which `tick` has to process a pending call."""
         for call in self._pending.values():
             yield min(call.deadline_us, self._retry_at_us(call))
--- a/limerudder/store/control.py
+++ b/limerudder/store/control.py
@@ -1,4 +1,4 @@
-"""The control socket: a Unix socket in the data directory through which tools call the running member."""
+"""The control socket: a Unix socket in the data directory for calls from tools to the running member."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         store.member.change_listeners.append(self._state_changed)
 
     async def listen(self) -> None:
-        """Accept callers. Replaces the socket of a process that was killed: the directory is locked."""
+        """Accept callers. Replaces a killed process's socket, which is safe since the directory is locked."""
         with suppress(FileNotFoundError):
             os.unlink(self._path)
         listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
--- a/limerudder/store/control_arguments.py
+++ b/limerudder/store/control_arguments.py
@@ -1,4 +1,4 @@
-"""Reads the arguments of control calls from JSON; everything here may raise one of `CALL_ERRORS`."""
+"""Parses the arguments of control calls from JSON; all functions may raise one of `CALL_ERRORS`."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from limerudder.store.data_directory import random_id
 from limerudder.store.raft.messages import Member, MemberRole
 
-MAX_ITEMS = 10_000  #: of one answer
-MAX_NUMBER = (1 << 63) - 1  #: of a revision, version, session or serial number
+MAX_ITEMS = 10_000  #: Maximum number of items in an answer
+MAX_NUMBER = (1 << 63) - 1  #: Largest revision, version, session or serial number
 
 
 class GetArguments(NamedTuple):
@@ -30,7 +30,7 @@
     key: str
     prefix: str | None
     max_items: int
-    allow_stale: bool  # the answer may be of this member alone, without asking a quorum
+    allow_stale: bool  # Answer from this member's state, without contacting a quorum
 
 
 class WatchArguments(NamedTuple):
@@ -41,7 +41,7 @@
 
 
 def parse_get(call: JsonObject) -> GetArguments:
-    """Read the arguments of `get`."""
+    """Return the arguments of `get`."""
     prefix = call.get("prefix")
     return GetArguments(
         key="" if "prefix" in call else str(call["key"]),
@@ -52,14 +52,14 @@
 
 
 def parse_put(call: JsonObject) -> Transaction:
-    """Return the transaction of `put`, which gives the item back if it is not carried out."""
+    """Return the transaction of `put`, which reads the existing item if its comparison fails."""
     key = str(call["key"])
     value = decode_value(call["value"])
     return Transaction(_expected_revision(key, call), (Put(key, value),), (Get(key),))
 
 
 def parse_delete(call: JsonObject) -> Transaction:
-    """Return the transaction of `delete`, which gives the item back in any case."""
+    """Return the transaction of `delete`, which reads the existing item in either case."""
     key = str(call["key"])
     return Transaction(_expected_revision(key, call), (Get(key), Delete(key)), (Get(key),))
 
@@ -118,7 +118,7 @@
 
 
 def parse_watch(call: JsonObject, current_revision: int) -> WatchArguments:
-    """Read the arguments of `watch`, which begins at the current revision unless the call names another."""
+    """Return the arguments of `watch`, which starts at the current revision by default."""
     after_revision = call.get("after", current_revision)
     if not isinstance(after_revision, int) or after_revision < 0:
         raise ControlError(ControlErrorKind.INVALID, f"after: {after_revision!r} is no revision")
@@ -126,7 +126,7 @@
 
 
 def parse_new_member(call: JsonObject) -> Member:
-    """Return the member that `add` asks for, with a new identifier."""
+    """Return the member to be added by `add`, with a new identifier."""
     role = MemberRole.LEARNER if call.get("learner") else MemberRole.JOINING
     member = Member(random_id(), str(call["member"]), str(call["address"]), role)
     try:
--- a/limerudder/store/control_calls.py
+++ b/limerudder/store/control_calls.py
@@ -1,7 +1,7 @@
-"""The calls of the control socket, one function for each; `CALLS` is the table of their names.
+"""Handlers of the control socket's calls; `CALLS` maps the name of each call to its handler.
 
-A handler reads its arguments from the call and answers through its context, at once or later. It raises one
-of `control_protocol.CALL_ERRORS` if the call cannot be read or carried out.
+A handler parses its arguments from the call and answers through its context, immediately or later. It raises
+one of `control_protocol.CALL_ERRORS` if the call is malformed or cannot be carried out.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallContext:
-    """What a handler works on: the store, its caller's connection, and where the answer goes."""
+    """Context of a handler: the store, the caller's connection, the deadline, and the answer callback."""
 
     store: Store
     writer: ConnectionWriter
@@ -58,7 +58,7 @@
 
     @property
     def member(self) -> Member:
-        """The member that is called."""
+        """The member that receives the call."""
         return self.store.member
 
 
@@ -76,7 +76,7 @@
 
 
 def hosts(context: CallContext, call: JsonObject) -> None:
-    """Answer with what is known of hosts, and whether that is agreed on by now."""
+    """Answer with this member's records of hosts, and whether each has been agreed on by the cluster."""
     drain_log = context.member.drain_log
     hosts_with_pending_facts = {fact.host for fact in drain_log.pending_facts.values()}
     rows = [
@@ -91,7 +91,7 @@
 
 
 def get(context: CallContext, call: JsonObject) -> None:
-    """Answer with a key or all keys with a prefix; with `stale` as this member has them."""
+    """Answer with a key or all keys with a prefix; with `stale`, from this member's state."""
     arguments = parse_get(call)
     if arguments.allow_stale:
         _respond_with_items(context, arguments)
@@ -128,7 +128,7 @@
 
 
 def watch(context: CallContext, call: JsonObject) -> None:
-    """Answer with where the watch begins, then send the changes under a prefix as they come."""
+    """Answer with the revision at which the watch starts, then send the changes under a prefix."""
     state = context.member.state
     arguments = parse_watch(call, state.revision)
     context.watch.check_revision(arguments.after_revision)
@@ -137,12 +137,12 @@
 
 
 def put(context: CallContext, call: JsonObject) -> None:
-    """Set a key, with `modified` only if that is the revision of its last change."""
+    """Set a key; with `modified`, only if that is the revision of its last change."""
     context.writer.write(parse_put(call), context.deadline_us, context.respond)
 
 
 def delete(context: CallContext, call: JsonObject) -> None:
-    """Remove a key, with `modified` only if that is the revision of its last change."""
+    """Remove a key; with `modified`, only if that is the revision of its last change."""
     context.writer.write(parse_delete(call), context.deadline_us, context.respond)
 
 
@@ -152,17 +152,17 @@
 
 
 def open_session(context: CallContext, call: JsonObject) -> None:
-    """Open a session of the caller's own, which outlives the connection."""
+    """Open a session for the caller, which outlives the connection."""
     submit_command(context.store, OpenSession(), context.deadline_us, context.respond)
 
 
 def write_in_session(context: CallContext, call: JsonObject) -> None:
-    """Carry out a transaction in the caller's session, once however often it is retried."""
+    """Carry out a transaction in the caller's session; retries are not applied again."""
     submit_command(context.store, parse_session_write(call), context.deadline_us, context.respond)
 
 
 def add_member(context: CallContext, call: JsonObject) -> None:
-    """Add a member; the answer holds the join token for its data directory."""
+    """Add a member; the answer contains the join token for its data directory."""
     new_member = parse_new_member(call)
     join_token = encode_join_token(context.store.identity.cluster_id, new_member)
     answer: JsonObject = {"member": f"{new_member.id:016x}", "ticket": join_token}
@@ -175,7 +175,7 @@
 
 
 def transfer_leadership(context: CallContext, call: JsonObject) -> None:
-    """Have another member become the leader."""
+    """Transfer the leadership to another member."""
     _submit_request(context, RequestKind.TRANSFER_LEADERSHIP, _encode_member_id(context, call), {})
 
 
@@ -194,7 +194,7 @@
 
 
 def backup(context: CallContext, call: JsonObject) -> None:
-    """Write the state, as of a linearizable read, into a file."""
+    """Write the state, as of a linearizable read, to a file."""
     path = parse_backup_path(call)
 
     def on_read(failure: CallFailure | None, now_us: int) -> None:
@@ -218,7 +218,7 @@
         else:
             context.respond({"path": path, "revision": revision, "entry": snapshot_job.index})
 
-    # in another thread: writing a large state would stall the event loop
+    # Runs in another thread, since writing a large state would stall the event loop
     loop = asyncio.get_running_loop()
     writing = loop.run_in_executor(None, _build_and_write_backup, path, cluster_id, snapshot_job)
     writing.add_done_callback(on_written)
--- a/limerudder/store/control_protocol.py
+++ b/limerudder/store/control_protocol.py
@@ -1,10 +1,10 @@
-"""The protocol of the control socket: JSON lines, one call a line, answered in order.
+"""The protocol of the control socket: JSON lines with one call per line, answered in order.
 
 A call is `{"call": NAME, …}`; its answer is `{"ok": true, …}`, or
-`{"ok": false, "kind": KIND, "error": TEXT}` with a kind of ControlErrorKind. `wait_ms` in a call is how long
-the caller waits for the answer. A `tag`, which may be any JSON value, is repeated in the answer. Values of
-keys are text; those that are not UTF-8 are `{"base64": …}`. A `watch` is answered with one line after the
-other until the caller disconnects.
+`{"ok": false, "kind": KIND, "error": TEXT}` with a kind of ControlErrorKind. `wait_ms` in a call is the time
+that the caller waits for the answer. A `tag`, which may be any JSON value, is echoed in the answer. Values of
+keys are text; those that are not UTF-8 are `{"base64": …}`. A `watch` is answered with a line for each
+change until the caller disconnects.
 """
 
 from __future__ import annotations
@@ -20,44 +20,44 @@
 from limerudder.store.calls import CallFailure
 from limerudder.store.commands import Item
 
-SOCKET_NAME = "control"  #: in the data directory
+SOCKET_NAME = "control"  #: File name in the data directory
 MAX_LINE_BYTES = 2 << 20
 DEFAULT_WAIT_MS = 5_000
 MAX_WAIT_MS = 600_000
 MICROSECONDS_PER_MILLISECOND = 1000
 
 JsonObject = dict[str, Any]
-#: gets the fields of an answer beside `ok`, or why there is none
+#: Receives the fields of an answer except `ok`, or the failure of the call
 Respond = Callable[[JsonObject | CallFailure], None]
 
 
 class ControlErrorKind(StrEnum):
-    """Why a call was not carried out."""
+    """Reason why a call failed."""
 
-    INVALID = "wrong"  #: the call cannot be read
-    REJECTED = "refused"  #: the call is not allowed or not possible
-    BUSY = "busy"  #: too many calls are pending
-    UNAVAILABLE = "not_now"  #: no leader, or no answer in time; nothing was done
-    OUTCOME_UNKNOWN = "unsure"  #: the call may have been carried out, or may be yet
-    NOT_FOUND = "not_there"  #: no such key or member
-    COMPACTED = "compacted"  #: the changes that a watch asks for are no longer kept
+    INVALID = "wrong"  #: The call is malformed
+    REJECTED = "refused"  #: The call is not allowed or not possible
+    BUSY = "busy"  #: Too many calls are pending
+    UNAVAILABLE = "not_now"  #: No leader, or no answer in time; the call had no effect
+    OUTCOME_UNKNOWN = "unsure"  #: The call may have been carried out or may still be
+    NOT_FOUND = "not_there"  #: The key or member does not exist
+    COMPACTED = "compacted"  #: The changes requested by a watch are no longer kept
 
 
 class ControlError(Exception):
-    """A call that is not carried out; the text says why."""
+    """A rejected call; the text states the reason."""
 
     def __init__(self, kind: ControlErrorKind, text: str) -> None:
         super().__init__(text)
         self.kind = kind
 
 
-#: everything that reading a call from JSON may raise
+#: Exceptions that parsing a call from JSON may raise
 CALL_ERRORS = (ControlError, ValueError, KeyError, TypeError, RecursionError)
 
 
 @contextmanager
 def socket_path(directory: str) -> Iterator[str]:
-    """Give a path of the control socket that is short enough for a Unix socket address. Raises OSError."""
+    """Provide a path of the control socket that fits into a Unix socket address. Raises OSError."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{descriptor}/{SOCKET_NAME}"
@@ -74,7 +74,7 @@
 
 
 def parse_wait_us(call: JsonObject) -> int:
-    """Return how long a call waits for its answer, in microseconds; raises ControlError."""
+    """Return the time that a call waits for its answer, in microseconds; raises ControlError."""
     wait_ms = call.get("wait_ms", DEFAULT_WAIT_MS)
     if not isinstance(wait_ms, int) or not 0 <= wait_ms <= MAX_WAIT_MS:
         raise ControlError(ControlErrorKind.INVALID, f"wait_ms: {wait_ms!r} is not from 0 to {MAX_WAIT_MS}")
@@ -87,12 +87,12 @@
 
 
 def with_tag(answer: JsonObject, tag: Any) -> JsonObject:
-    """Return an answer with the tag of its call, if that has one."""
+    """Return an answer with the tag of its call, if there is one."""
     return answer if tag is None else {**answer, "tag": tag}
 
 
 def outcome_answer(outcome: JsonObject | CallFailure) -> JsonObject:
-    """Return the answer to a call that has ended."""
+    """Return the answer to a completed call."""
     if not isinstance(outcome, CallFailure):
         return {"ok": True, **outcome}
     kind = ControlErrorKind.OUTCOME_UNKNOWN if outcome.outcome_unknown else ControlErrorKind(outcome.kind)
@@ -100,7 +100,7 @@
 
 
 def exception_answer(error: Exception) -> JsonObject:
-    """Return the answer to a call whose parsing has raised one of CALL_ERRORS."""
+    """Return the answer to a call whose handling raised one of CALL_ERRORS."""
     if isinstance(error, ControlError):
         return error_answer(error.kind, str(error))
     text = f"a call that cannot be read: {type(error).__name__} {error}"
@@ -108,12 +108,12 @@
 
 
 def error_answer(kind: ControlErrorKind, text: str) -> JsonObject:
-    """Return an answer that says why a call was not carried out."""
+    """Return the answer to a failed call."""
     return {"ok": False, "kind": kind, "error": text}
 
 
 def encode_value(value: bytes) -> str | JsonObject:
-    """Return a key's value as JSON has it."""
+    """Return the JSON form of a key's value."""
     try:
         return value.decode()
     except UnicodeDecodeError:
@@ -121,7 +121,7 @@
 
 
 def decode_value(value: Any) -> bytes:
-    """Return a key's value from JSON; raises ControlError."""
+    """Return a key's value from its JSON form; raises ControlError."""
     if isinstance(value, str):
         return value.encode()
     if isinstance(value, dict) and isinstance(value.get("base64"), str):
@@ -133,7 +133,7 @@
 
 
 def item_to_json(key: str, item: Item | None) -> JsonObject:
-    """Return a key's item, or that there is none, as JSON has it."""
+    """Return the JSON form of a key's item, or of a key that does not exist."""
     if item is None:
         return {"key": key, "gone": True}
     return {
--- a/limerudder/store/control_session.py
+++ b/limerudder/store/control_session.py
@@ -1,4 +1,4 @@
-"""One caller's connection to the control socket."""
+"""A caller's connection to the control socket."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ControlSession(asyncio.Protocol):
-    """Takes calls and sends their answers; `open_sessions` holds those that are connected."""
+    """Receives calls and sends their answers; a member of `open_sessions` while connected."""
 
     def __init__(self, store: Store, open_sessions: set[ControlSession]) -> None:
         self._store = store
@@ -39,7 +39,7 @@
         self._watch: WatchStream | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to take calls."""
+        """Start accepting calls."""
         self._transport = cast(asyncio.Transport, transport)
         self._watch = WatchStream(self._store.member.state, self._transport)
         self._open_sessions.add(self)
@@ -64,16 +64,16 @@
         self._store.schedule_output()
 
     def resume_writing(self) -> None:
-        """Go on with a watch that has paused since the caller read too slowly."""
+        """Resume a watch that was paused because the caller read too slowly."""
         self.send_changes()
 
     def send_changes(self) -> None:
-        """Send what has changed to a caller that watches."""
+        """Send new changes if the caller has a watch."""
         if self._watch:
             self._watch.send_changes()
 
     def close(self) -> None:
-        """Disconnect once everything sent has left."""
+        """Disconnect once all pending output has been sent."""
         if self._transport:
             self._transport.close()
 
@@ -83,7 +83,7 @@
             call = parse_line(line)
             tag = call.get("tag")
             self._start_call(call, tag)
-        except CALL_ERRORS as error:  # whatever the caller sends costs it an error answer at most
+        except CALL_ERRORS as error:  # Invalid input must cause no more than an error answer
             self._send(with_tag(exception_answer(error), tag))
 
     def _start_call(self, call: JsonObject, tag: Any) -> None:
@@ -91,7 +91,7 @@
         if handler is None:
             raise ControlError(ControlErrorKind.INVALID, f"no such call; there are {', '.join(CALLS)}")
         deadline_us = parse_wait_us(call) + self._store.now_us()
-        assert self._watch is not None, "there are no calls without a connection"
+        assert self._watch is not None, "calls are received on open connections only"
         respond = partial(self._respond, tag)
         handler(CallContext(self._store, self._writer, self._watch, deadline_us, respond), call)
 
--- a/limerudder/store/control_watch.py
+++ b/limerudder/store/control_watch.py
@@ -1,4 +1,4 @@
-"""Sends the changes of a watch to a caller of the control socket, at the pace at which it reads."""
+"""Sends the changes of a watch to a caller of the control socket, as fast as the caller reads them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 from limerudder.store.state_machine import ChangeEvent, CompactedError, KeyValueState
 
-MAX_BUFFERED_BYTES = 1 << 20  #: for a caller that reads slowly; the watch pauses beyond
+MAX_BUFFERED_BYTES = 1 << 20  #: Maximum unsent output for a slow caller; the watch pauses above it
 MAX_CHANGES_PER_BATCH = 500
 
 
@@ -24,7 +24,7 @@
     def __init__(self, state: KeyValueState, transport: asyncio.Transport) -> None:
         self._state = state
         self._transport = transport
-        self._watch: WatchArguments | None = None  # with the revision of the last change sent
+        self._watch: WatchArguments | None = None  # `after_revision` advances as changes are sent
 
     def check_revision(self, after_revision: int) -> None:
         """Raise ControlError if changes after this revision are no longer kept."""
@@ -33,12 +33,12 @@
             raise ControlError(ControlErrorKind.COMPACTED, text)
 
     def start(self, watch: WatchArguments) -> None:
-        """Begin a watch, in place of an earlier one of this connection."""
+        """Start a watch, replacing an earlier one of this connection."""
         self._watch = watch
         self.send_changes()
 
     def send_changes(self) -> None:
-        """Send the changes since the last call, until the caller reads too slowly."""
+        """Send the changes since the last call, or part of them if the caller reads too slowly."""
         while self._watch and self._can_send():
             watch = self._watch
             try:
@@ -60,7 +60,7 @@
         )
 
     def _end(self, error: CompactedError) -> None:
-        """Tell the caller that it has missed changes, which it would not notice otherwise."""
+        """Notify the caller of missed changes, which it could not detect otherwise."""
         self._watch = None
         answer = error_answer(ControlErrorKind.COMPACTED, str(error))
         self._transport.write(encode_line({**answer, "revision": error.revision}))
--- a/limerudder/store/control_writes.py
+++ b/limerudder/store/control_writes.py
@@ -1,4 +1,4 @@
-"""Writes for callers of the control socket."""
+"""Writes on behalf of callers of the control socket."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from limerudder.store.sessions import RequestSequence
 from limerudder.store.store import Store
 
-NO_SESSION = 0  #: the identifier of no session
+NO_SESSION = 0  #: Reserved identifier that no session has
 
 
 def submit_command(store: Store, command: Command, deadline_us: int, respond: Respond) -> None:
-    """Have a command applied, and answer with its result."""
+    """Submit a command, and answer with its result."""
 
     def on_result(outcome: CommandResult | CallFailure, now_us: int) -> None:
         respond(_result_answer(command, outcome))
@@ -44,13 +44,13 @@
 
 
 class ConnectionWriter:
-    """The writes of one connection: they share a session, which is opened with the first of them."""
+    """The writes of one connection, which share a session; the first write opens it."""
 
     def __init__(self, store: Store) -> None:
         self._store = store
         self._session_id = NO_SESSION
         self._sequence = RequestSequence()
-        self._waiting_for_session: list[Callable[[], None]] = []  # opening a session while not empty
+        self._waiting_for_session: list[Callable[[], None]] = []  # Nonempty while a session is being opened
 
     def write(self, transaction: Transaction, deadline_us: int, respond: Respond) -> None:
         """Carry out a transaction, and answer with its result."""
--- a/limerudder/store/endpoint_list_writer.py
+++ b/limerudder/store/endpoint_list_writer.py
@@ -1,4 +1,4 @@
-"""Keeps discovery's last endpoint list in the store, so that a node can start while discovery is down."""
+"""Saves discovery's last endpoint list in the store, so that a node can start while discovery is down."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from limerudder.store.store import Store
 
 WRITE_INTERVAL_US = 2_000_000
-NO_SESSION = 0  #: the identifier of no session
-NOTHING_WRITTEN = -1  #: the version of no list
+NO_SESSION = 0  #: Reserved identifier that no session has
+NOTHING_WRITTEN = -1  #: Reserved version that no list has
 
 
 class EndpointListWriter:
-    """Writes the list of the node whose member leads; a write that fails is repeated after an interval."""
+    """Writes the node's list while its member leads; a failed write is retried after an interval."""
 
     def __init__(self, store: Store, max_value_bytes: int) -> None:
         self._store = store
@@ -37,14 +37,14 @@
         self._sequence = RequestSequence()
 
     def is_due(self, now_us: int) -> bool:
-        """Return, once per interval, that the list is to be written."""
+        """Whether a write is due; true once per interval."""
         if now_us < self._next_write_us:
             return False
         self._next_write_us = now_us + WRITE_INTERVAL_US
         return True
 
     def write(self, endpoint_list: EndpointList, now_us: int) -> None:
-        """Write a list that is newer than the one written last, if this member leads."""
+        """Write the list if it differs from the last one written and this member leads."""
         is_new = endpoint_list.version != self._written_version
         if not self._store.member.is_leader or not is_new or not endpoint_list.endpoints:
             return
@@ -52,11 +52,11 @@
             self._open_session(now_us)
             return
         value = json.dumps(format_endpoint_list(endpoint_list)).encode()
-        known = self._store.member.known_value(ENDPOINT_LIST_KEY)
+        stored = self._store.member.known_value(ENDPOINT_LIST_KEY)
         self._written_version = endpoint_list.version
-        if known.value == value or len(value) > self._max_value_bytes:
+        if stored.value == value or len(value) > self._max_value_bytes:
             return
-        unchanged = Compare(ENDPOINT_LIST_KEY, CompareTarget.MODIFIED, number=known.modified_revision)
+        unchanged = Compare(ENDPOINT_LIST_KEY, CompareTarget.MODIFIED, number=stored.modified_revision)
         self._submit(Transaction((unchanged,), (Put(ENDPOINT_LIST_KEY, value),)), now_us)
 
     def _submit(self, transaction: Transaction, now_us: int) -> None:
--- a/limerudder/store/node_bridge.py
+++ b/limerudder/store/node_bridge.py
@@ -1,8 +1,8 @@
 """Connects a node to its store.
 
-The node serves from what this member knows, at once and without a quorum. Hosts that the drain log excludes
-are drained as if discovery listed them as draining. Settings changed in the store apply to the running node.
-Discovery's last endpoint list outlives the process.
+The node serves immediately, from this member's local data and without a quorum. Hosts that the drain log
+excludes are drained as if discovery listed them as draining. Settings changed in the store are applied to the
+running node. Discovery's last endpoint list outlives the process.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 from limerudder.store.settings_applier import ConfigureLog, SettingsApplier
 from limerudder.store.store import Store
 
-UPDATE_INTERVAL_US = 25_000  #: between updates of the node, far less than the grace period of drains
+UPDATE_INTERVAL_US = 25_000  #: Interval of node updates, far below the grace period of drains
 
 
 @dataclass(frozen=True, slots=True)
 class NodeHooks:
-    """What the bridge calls on the node. Times are microseconds of the node's clock."""
+    """The bridge's interface to the node. Times are microseconds of the node's clock."""
 
     timers: TimerWheel
-    set_discovery_address: Callable[[Address, int], None]  # address, now
-    is_listed: Callable[[str], bool]  # whether discovery lists the host of this name
-    refresh_endpoint: Callable[[str, int], None]  # host, now: evaluate its listed state anew
-    endpoint_list: Callable[[], EndpointList]  # discovery's list as the node has it
-    return_to_service_times: Callable[[], dict[str, int]]  # by host, when staff put it back
-    apply_return_to_service_times: Callable[[dict[str, int], int], None]  # those known elsewhere, now
+    set_discovery_address: Callable[[Address, int], None]  # Parameters: address, now
+    is_listed: Callable[[str], bool]  # Whether discovery lists the host of this name
+    refresh_endpoint: Callable[[str, int], None]  # Re-evaluates a host's listed state; parameters: host, now
+    endpoint_list: Callable[[], EndpointList]  # Discovery's list according to the node
+    return_to_service_times: Callable[[], dict[str, int]]  # When operators returned each host to service
+    apply_return_to_service_times: Callable[[dict[str, int], int], None]  # Parameters: stored times, now
 
 
 class NodeStoreBridge:
-    """A node's store: what the node is told of it, and what it is told by the node.
+    """A node's store: applies the store's records to the node, and records the node's observations.
 
-    `on_drain_recorded` is called with each host that has a drain, and the last start that is drained, soon
-    after anything about the host has changed.
+    `on_drain_recorded` is called with a drained host and its last drained start, soon after each change of
+    the host's record.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         now_us: Callable[[], int],
         configure_log: ConfigureLog,
     ) -> None:
-        """Open the store; raises DiskError, also if its directory is another member's."""
+        """Open the store; raises DiskError, also if the directory belongs to another member."""
         self.settings = settings
         self.on_drain_recorded: Callable[[str, int], None] = _ignore_drain
         self._log = log
@@ -77,12 +77,12 @@
         self._endpoint_list_writer = EndpointListWriter(self._store, settings.value_most)
         self._drain_log = self._store.member.drain_log
         self._drain_log.host_changed = self._host_changed
-        self._changed_hosts: set[str] = set()  # since the last update of the node
+        self._changed_hosts: set[str] = set()  # Hosts changed since the last update of the node
         self._node: NodeHooks | None = None
         self._store.member.change_listeners.append(self._state_changed)
 
     def restore_config(self, config: ProcessConfig) -> ProcessConfig:
-        """Return the configuration with what the store knows better: endpoints, discovery's address."""
+        """Return the configuration, updated with the store's newer endpoints and address of discovery."""
         endpoint_list = self._stored_endpoint_list()
         if endpoint_list and endpoint_list.version > config.known.version:
             config = replace(config, known=endpoint_list._replace(is_complete=True))
@@ -92,7 +92,7 @@
         return config
 
     async def run(self, node: NodeHooks, bound_socket: socket.socket) -> None:
-        """Talk to the other members at a bound socket, and keep a node that has its endpoints up to date."""
+        """Connect to the other members on a bound socket; keep a node with known endpoints up to date."""
         self._node = node
         await self._store.run(bound_socket)
         await self._control.listen()
@@ -101,12 +101,12 @@
         self._update_node(self._now_us())
 
     def close(self) -> None:
-        """Close the store, for the node's end or for the process that takes over."""
+        """Close the store at the node's end or before the successor opens it."""
         self._control.close()
         self._store.close()
 
     def observe(self, endpoint: Endpoint) -> bool:
-        """Record the endpoint's drain, if discovery lists one; whether this start is to get nothing new."""
+        """Record the endpoint's drain if one is listed; return whether this start gets no new attempts."""
         if endpoint.state == ServerState.DRAINING:
             if self._drain_log.record_drain(endpoint.name, endpoint.started_ms) is not None:
                 self._store.schedule_output()
@@ -114,12 +114,12 @@
         return self._drain_log.effective_record(endpoint.name).excludes(endpoint.started_ms)
 
     def drained_starts(self) -> dict[str, int]:
-        """By host, the last start that is known to drain, in ms since 1970."""
+        """Return the last draining start of each host, by name, in ms since 1970."""
         starts = {host: self._drain_log.effective_record(host).drained for host in self._drain_log.hosts()}
         return {host: started_ms for host, started_ms in starts.items() if started_ms > NEVER_DRAINED}
 
     def record_inherited_drains(self, drained_starts: dict[str, int]) -> None:
-        """Record drains that were observed before the store could be opened."""
+        """Record drains that were observed before the store was opened."""
         for host, started_ms in drained_starts.items():
             self._drain_log.record_drain(host, started_ms)
         self._store.schedule_output()
@@ -129,17 +129,17 @@
         return self._drain_log.held_hosts()
 
     def hold_host(self, name: str) -> None:
-        """Record that staff hold a host out of service."""
+        """Record that an operator holds a host out of service."""
         self._drain_log.record_hold(name, self._store.identity.name)
         self._store.schedule_output()
 
     def return_host(self, name: str) -> None:
-        """Record that staff return a host to service."""
+        """Record that an operator returns a host to service."""
         self._drain_log.record_return(name, self._now_us())
         self._store.schedule_output()
 
     def call_when_durable(self, name: str, callback: Callable[[int], None]) -> None:
-        """Call back, with the time, once everything recorded of a host is durable here."""
+        """Call back, with the time, once all facts recorded about a host are durable at this member."""
         now_us = self._now_us()
         pending_facts = self._drain_log.pending_facts.items()
         fact_numbers = [number for number, fact in pending_facts if fact.host == name]
@@ -163,11 +163,8 @@
             return None
         try:
             return parse_endpoint_list(json.loads(value))
-        except (
-            EndpointListError,
-            ValueError,
-            RecursionError,
-        ):  # a malformed value must not prevent the start
+        except (EndpointListError, ValueError, RecursionError):
+            # A malformed value must not prevent the start
             text = "store: the last endpoint list is malformed; using the configured one"
             self._log(LogKind.STORE_ENDPOINTS_MALFORMED, text)
             return None
@@ -187,7 +184,7 @@
         self._settings_applier.apply_changes()
 
     def _update_node(self, now_us: int) -> None:
-        """Tell the node what has changed; at intervals, so that it evaluates each changed host once."""
+        """Apply changes to the node; at intervals, so that each changed host is evaluated once."""
         node = self._node
         if node is None or self._store.is_closed:
             return
@@ -195,21 +192,21 @@
         changed_hosts = self._changed_hosts
         self._changed_hosts = set()
         if changed_hosts:
-            known_returns = node.return_to_service_times()
+            applied_return_times_us = node.return_to_service_times()
             for host in sorted(changed_hosts):
-                self._update_host(node, host, known_returns.get(host, 0), now_us)
+                self._update_host(node, host, applied_return_times_us.get(host, 0), now_us)
         if self._endpoint_list_writer.is_due(now_us):
             self._endpoint_list_writer.write(node.endpoint_list(), now_us)
 
-    def _update_host(self, node: NodeHooks, host: str, known_return_us: int, now_us: int) -> None:
+    def _update_host(self, node: NodeHooks, host: str, applied_return_time_us: int, now_us: int) -> None:
         record = self._drain_log.effective_record(host)
         if record.drained > NEVER_DRAINED:
             self.on_drain_recorded(host, record.drained)
-        if record.back_at > known_return_us:
+        if record.back_at > applied_return_time_us:
             node.apply_return_to_service_times({host: record.back_at}, now_us)
         elif node.is_listed(host):
             node.refresh_endpoint(host, now_us)
 
 
 def _ignore_drain(host: str, started_ms: int) -> None:
-    """Stands in until the process has set what is to hear of drains."""
+    """Default of `on_drain_recorded` until the process sets it."""
--- a/limerudder/store/peer_authentication.py
+++ b/limerudder/store/peer_authentication.py
@@ -1,10 +1,10 @@
-"""Decides which peers may connect: none of another cluster, of another build, or with an outdated disk.
+"""Decides which peers may connect, rejecting those of another cluster or build or with an outdated disk.
 
-A member's identifier is drawn at random with its disk. The disk counts its starts and draws a nonce for each:
-`Incarnation`. Each member remembers what the others have proved about their disks. A member that proves less
-than before runs on an older copy of its disk or shares the disk with another process. It must not take part,
-since it may have cast a vote or acknowledged an entry that it no longer knows of; the way back is a new disk
-under a new identifier.
+A member's random identifier is created with its disk. The disk counts its starts and draws a random nonce for
+each: `Incarnation`. Each member records what the others have proved about their disks. A member that proves
+less than before runs on an older copy of its disk or shares the disk with another process. It must not
+participate, since it may have cast a vote or acknowledged an entry that is missing from this disk; it can
+rejoin only with a new disk under a new identifier.
 
 No I/O, no clock.
 """
@@ -17,11 +17,11 @@
 
 from limerudder.store.raft.messages import ClusterConfig
 
-PROTOCOL_BUILD = 1  #: version of the frames and messages; other versions are rejected
+PROTOCOL_BUILD = 1  #: Version of the frames and messages; peers with other versions are rejected
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True):
-    """A start of a disk: its number in the sequence of starts, and a random nonce."""
+    """One start of a disk: its sequence number and a random nonce."""
 
     number: int
     nonce: int
@@ -37,7 +37,7 @@
     name: str
     incarnation: Incarnation
     term: int
-    last_index: int  # of the sender's log, durable
+    last_index: int  # Last durable index of the sender's log
 
 
 class DurabilityProof(msgspec.Struct, frozen=True, array_like=True):
@@ -54,11 +54,11 @@
     def __init__(self, cluster_id: int, member_id: int, proofs: Mapping[int, DurabilityProof]) -> None:
         self._cluster_id = cluster_id
         self._member_id = member_id
-        self._proofs = dict(proofs)  # by member
-        self._unsaved_proofs: dict[int, DurabilityProof] = {}  # to be made durable
+        self._proofs = dict(proofs)  # Proofs by member
+        self._unsaved_proofs: dict[int, DurabilityProof] = {}  # Proofs that are not durable yet, by member
 
     def take_unsaved_proofs(self) -> dict[int, DurabilityProof]:
-        """Returns, once, the proofs that have to be made durable, by member."""
+        """Returns and clears the proofs that have to be made durable, by member."""
         unsaved = self._unsaved_proofs
         self._unsaved_proofs = {}
         return unsaved
@@ -68,8 +68,8 @@
     ) -> str | None:
         """Returns why a peer is rejected, or None if it may connect.
 
-        `config_is_current` tells that no newer configuration exists. If one may exist, a peer that `config`
-        lacks must be accepted: it may be the leader, and the only member that can send the newer one.
+        `config_is_current` states that no newer configuration exists. If one may exist, a peer missing from
+        `config` must be accepted: it may be the leader, and the only member that can send the newer one.
         """
         reason = self._wrong_destination(handshake)
         if reason is None and config_is_current:
@@ -80,7 +80,7 @@
         outdated = _outdated_disk(proof, handshake) if proof else None
         if outdated is not None:
             return f"the disk of {handshake.name} ({handshake.sender_id:016x}) {outdated}"
-        self._remember_incarnation(handshake, proof)
+        self._record_incarnation(handshake, proof)
         return None
 
     def _wrong_destination(self, handshake: Handshake) -> str | None:
@@ -92,7 +92,7 @@
             return f"it looks for member {handshake.recipient_id:016x}; this is {self._member_id:016x}"
         return None
 
-    def _remember_incarnation(self, handshake: Handshake, previous: DurabilityProof | None) -> None:
+    def _record_incarnation(self, handshake: Handshake, previous: DurabilityProof | None) -> None:
         if previous and previous.incarnation == handshake.incarnation:
             return
         if previous:
@@ -103,31 +103,31 @@
         self._unsaved_proofs[handshake.sender_id] = proof
 
     def record_acknowledgement(self, sender_id: int, term: int, index: int) -> None:
-        """Records that a member has acknowledged the log up to an entry, and so has it on its disk."""
+        """Records that a member has acknowledged the log up to an entry, which its disk must contain."""
         proof = self._proofs.get(sender_id)
         if proof and (term, index) > (proof.term, proof.index):
-            # not among the unsaved proofs: it becomes durable here with the member's next incarnation only
+            # Not added to the unsaved proofs: it becomes durable here only with the member's next incarnation
             self._proofs[sender_id] = DurabilityProof(proof.incarnation, term, index)
 
 
 def _unknown_member(handshake: Handshake, config: ClusterConfig) -> str | None:
     if config.find_by_id(handshake.sender_id) is not None:
         return None
-    namesake = config.find_by_name(handshake.name)
-    if namesake:
+    existing_member = config.find_by_name(handshake.name)
+    if existing_member:
         return (
-            f"{handshake.name} is member {namesake.id:016x} and this is {handshake.sender_id:016x}:"
+            f"{handshake.name} is member {existing_member.id:016x} and this is {handshake.sender_id:016x}:"
             f" a new disk under an old name must be added as a new member"
         )
     return f"{handshake.name} ({handshake.sender_id:016x}) is no member, or is one no more"
 
 
 def _outdated_disk(proof: DurabilityProof, handshake: Handshake) -> str | None:
-    """Returns how a handshake proves less than the peer has proved before, or None if it does not."""
-    shown, before = handshake.incarnation, proof.incarnation
-    if shown.number < before.number:
-        return f"shows start {shown.number} after start {before.number}: it is an older copy"
-    if shown.number == before.number and shown.nonce != before.nonce:
+    """Returns how a handshake proves less than the peer's earlier ones, or None if it does not."""
+    presented, recorded = handshake.incarnation, proof.incarnation
+    if presented.number < recorded.number:
+        return f"shows start {presented.number} after start {recorded.number}: it is an older copy"
+    if presented.number == recorded.number and presented.nonce != recorded.nonce:
         return "is used by two processes, or is a copy"
     if handshake.term < proof.term:
         return f"shows term {handshake.term} after term {proof.term}: it is an older copy"
--- a/limerudder/store/peer_connection.py
+++ b/limerudder/store/peer_connection.py
@@ -1,7 +1,7 @@
-"""One TCP connection between two members: the handshake, then frames of messages.
+"""A TCP connection between two members: a handshake, followed by frames of messages.
 
-The member that has dialled sends its handshake first. The other side validates it and answers with its own,
-or with a text that says why it rejects the peer.
+The dialling member sends its handshake first. The other side validates it and answers with its own, or with
+a text that states why it rejects the peer.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from limerudder.store.framing import MAX_FRAME_BYTES, FrameDecoder, FrameError, encode_frame
 from limerudder.store.peer_authentication import Handshake
 
-UNKNOWN_MEMBER = 0  #: the identifier of no member
-MAX_HANDSHAKE_BYTES = 4096  #: of a frame, until the peer has been accepted
+UNKNOWN_MEMBER = 0  #: Reserved identifier that no member has
+MAX_HANDSHAKE_BYTES = 4096  #: Maximum payload size of a frame until the peer has been accepted
 HANDSHAKE_TIMEOUT_SECONDS = 2.0
-MAX_BUFFERED_BYTES = 8 << 20  #: for a peer that reads slowly; messages beyond are dropped
-MAX_LOGGED_REASON_CHARACTERS = 300  #: of a text that a peer has sent
+MAX_BUFFERED_BYTES = 8 << 20  #: Maximum unsent output for a slow peer; messages above it are dropped
+MAX_LOGGED_REASON_CHARACTERS = 300  #: Maximum logged length of a text sent by a peer
 
 _encode = msgspec.msgpack.Encoder().encode
 _handshake_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Handshake | str)
 
 
 class PeerObserver(Protocol):
-    """What connections need of the member that they belong to."""
+    """The interface of a member to its connections."""
 
     def create_handshake(self, recipient_id: int) -> Handshake:
         """Return this member's handshake for a peer."""
@@ -37,24 +37,24 @@
         """Return why a peer with this handshake is rejected, or None if it is accepted."""
 
     def message_received(self, sender_id: int, message: rpc.StoreMessage) -> None:
-        """Take a message of an accepted peer."""
+        """Handle a message of an accepted peer."""
 
 
 class ConnectionOwner(Protocol):
-    """Keeps track of a member's connections."""
+    """Tracks a member's connections."""
 
     def connection_opened(self, connection: PeerConnection) -> None:
-        """The TCP connection is up; the handshake follows."""
+        """The TCP connection is established; the handshake follows."""
 
     def connection_established(self, connection: PeerConnection) -> None:
-        """The peer has been accepted; for an accepted connection `member_id` is known from now on."""
+        """The peer has been accepted; `member_id` is now set, also for accepted connections."""
 
     def connection_closed(self, connection: PeerConnection) -> None:
         """The connection has ended."""
 
 
 class ConnectionState(Enum):
-    """How far a connection has come."""
+    """The stage of a connection."""
 
     CONNECTING = auto()
     HANDSHAKING = auto()
@@ -63,7 +63,7 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, dialled to a known member or accepted from a peer that is unknown at first."""
+    """A connection dialled to a known member or accepted from a peer that is not identified yet."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         self._handshake_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin the handshake."""
+        """Start the handshake."""
         self._transport = cast(asyncio.Transport, transport)
         self.state = ConnectionState.HANDSHAKING
         loop = asyncio.get_running_loop()
@@ -93,17 +93,17 @@
             self._send_handshake()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, which may be anybody's until the peer has been accepted."""
+        """Handle received bytes, which are untrusted until the peer has been accepted."""
         try:
             for payload in self._decoder.feed(data):
                 self._payload_received(payload)
         except (FrameError, msgspec.DecodeError) as error:
-            # anything may be sent to an open port; it costs the sender its connection, and nobody else
+            # Any program may send data to an open port; only the sender's connection is closed
             self._log_rejection(f"sends what is no message: {error}")
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the owner that the connection has ended."""
+        """Notify the owner that the connection has ended."""
         self.close()
         self._owner.connection_closed(self)
 
@@ -113,19 +113,19 @@
             self._transport.write(frame)
 
     def is_congested(self) -> bool:
-        """Whether so much waits for the peer that further messages are to be dropped."""
+        """Whether the unsent output exceeds its limit, so that further messages are dropped."""
         if self._transport is None or self._transport.is_closing():
             return False
         return self._transport.get_write_buffer_size() > MAX_BUFFERED_BYTES
 
     def close(self) -> None:
-        """Close the connection once everything sent has left."""
+        """Close the connection once all pending output has been sent."""
         self._end_handshake(ConnectionState.CLOSED)
         if self._transport:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection now."""
+        """Close the connection immediately."""
         self._end_handshake(ConnectionState.CLOSED)
         if self._transport:
             self._transport.abort()
@@ -157,7 +157,7 @@
 
     def _reject(self, reason: str) -> None:
         self._log_rejection(reason)
-        if not self.is_dialled:  # the dialling side expects an answer to its handshake
+        if not self.is_dialled:  # The dialling side expects an answer to its handshake
             self._send_payload(reason)
         self.close()
 
--- a/limerudder/store/peer_transport.py
+++ b/limerudder/store/peer_transport.py
@@ -1,7 +1,7 @@
-"""All connections of one member to the others.
+"""Connections of a member to all other members.
 
-Each pair of members has up to two connections, one dialled by either side; a message takes whichever is up.
-Messages may be lost: Raft and the requests to the leader repeat what is not answered.
+Each pair of members has up to two connections, one dialled by each side; a message is sent on either of them.
+Messages may be lost: Raft and the requests to the leader retry what is not answered.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from limerudder.store.peer_connection import UNKNOWN_MEMBER, PeerConnection, PeerObserver
 from limerudder.store.raft.messages import ClusterConfig
 
-REDIAL_SECONDS = 0.1  #: after a connection could not be made or has ended
-MAX_UNAUTHENTICATED = 64  #: accepted connections whose handshake is outstanding; the oldest is closed
+REDIAL_SECONDS = 0.1  #: Delay after a failed or closed connection
+MAX_UNAUTHENTICATED = 64  #: Maximum accepted connections without a handshake; above it the oldest is closed
 
 
 class PeerTransport:
-    """Dials the other members, accepts connections from them, and sends messages."""
+    """Dials the other members, accepts connections from them, and sends messages to them."""
 
     def __init__(self, observer: PeerObserver, member_id: int, log: LogSink) -> None:
         self.dropped_messages = 0
         self._observer = observer
         self._member_id = member_id
         self._log = log
-        self._addresses: dict[int, Address] = {}  # of the other members, by member
-        self._connections: set[PeerConnection] = set()  # in any state
-        self._unauthenticated: dict[PeerConnection, None] = {}  # accepted ones, the oldest first
-        self._dialled: dict[int, PeerConnection] = {}  # established, by member
-        self._accepted: dict[int, PeerConnection] = {}  # established, by member
-        self._dial_tasks: dict[int, asyncio.Task[None]] = {}  # by member
-        self._redial_timers: dict[int, asyncio.TimerHandle] = {}  # by member
+        self._addresses: dict[int, Address] = {}  # Addresses of the other members, by member
+        self._connections: set[PeerConnection] = set()  # Connections in any state
+        self._unauthenticated: dict[PeerConnection, None] = {}  # Accepted connections, oldest first
+        self._dialled: dict[int, PeerConnection] = {}  # Established connections, by member
+        self._accepted: dict[int, PeerConnection] = {}  # Established connections, by member
+        self._dial_tasks: dict[int, asyncio.Task[None]] = {}  # Tasks by member
+        self._redial_timers: dict[int, asyncio.TimerHandle] = {}  # Timers by member
         self._server: asyncio.Server | None = None
         self._closed = False
 
@@ -44,7 +44,7 @@
         self._server = await loop.create_server(self._create_connection, sock=bound_socket)
 
     def set_members(self, config: ClusterConfig) -> None:
-        """Stay connected to the members of this configuration, and dial nobody else."""
+        """Stay connected to the members of this configuration, and dial no others."""
         self._addresses = self._peer_addresses(config)
         for member_id in self._addresses:
             self._dial(member_id)
@@ -53,11 +53,11 @@
                 connection.close()
 
     def is_connected_to(self, member_id: int) -> bool:
-        """Whether the connection that this member has dialled to another one is established."""
+        """Whether a connection dialled by this member to another one is established."""
         return member_id in self._dialled
 
     def send(self, recipient_id: int, message: rpc.StoreMessage) -> None:
-        """Send a message, or drop it if there is no connection or too much is waiting on it."""
+        """Send a message; drop it if there is no connection or its unsent output exceeds the limit."""
         connection = self._dialled.get(recipient_id) or self._accepted.get(recipient_id)
         if connection is None or connection.is_congested():
             self.dropped_messages += 1
@@ -77,7 +77,7 @@
             connection.abort()
 
     def connection_opened(self, connection: PeerConnection) -> None:
-        """Keep track of a connection, and bound the number of those that are not authenticated."""
+        """Track a connection, and limit the number of unauthenticated ones."""
         self._connections.add(connection)
         if connection.is_dialled:
             return
@@ -88,15 +88,15 @@
             oldest.close()
 
     def connection_established(self, connection: PeerConnection) -> None:
-        """Use a connection for messages to its member."""
+        """Use the connection for messages to its member."""
         self._unauthenticated.pop(connection, None)
-        self._established_like(connection)[connection.member_id] = connection
+        self._established_connections(connection)[connection.member_id] = connection
 
     def connection_closed(self, connection: PeerConnection) -> None:
-        """Forget a connection, and dial its member again if this member had dialled it."""
+        """Remove a connection, and dial its member again if this member had dialled it."""
         self._connections.discard(connection)
         self._unauthenticated.pop(connection, None)
-        established = self._established_like(connection)
+        established = self._established_connections(connection)
         if established.get(connection.member_id) is connection:
             del established[connection.member_id]
         if connection.is_dialled and not self._closed:
@@ -105,7 +105,7 @@
     def _create_connection(self, member_id: int = UNKNOWN_MEMBER) -> PeerConnection:
         return PeerConnection(self, self._observer, self._log, member_id)
 
-    def _established_like(self, connection: PeerConnection) -> dict[int, PeerConnection]:
+    def _established_connections(self, connection: PeerConnection) -> dict[int, PeerConnection]:
         return self._dialled if connection.is_dialled else self._accepted
 
     def _peer_addresses(self, config: ClusterConfig) -> dict[int, Address]:
@@ -136,7 +136,7 @@
             self._dial_tasks.pop(member_id, None)
 
     async def _try_connect(self, member_id: int) -> bool:
-        """Return whether TCP has connected; the handshake's result comes to `connection_established`."""
+        """Return whether TCP has connected; a successful handshake calls `connection_established`."""
         loop = asyncio.get_running_loop()
         host, port = self._addresses[member_id]
         try:
--- a/limerudder/store/rpc.py
+++ b/limerudder/store/rpc.py
@@ -1,4 +1,4 @@
-"""Messages between members beside Raft's own: requests forwarded to the leader, and its replies."""
+"""Messages between members in addition to Raft's: requests forwarded to the leader, and its replies."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class RequestKind(IntEnum):
-    """What the leader is asked to do."""
+    """Operation that is requested from the leader."""
 
-    WRITE = 0  #: append the command in `data`; the reply carries its `CommandResult`
-    READ_INDEX = 1  #: return the log index that a linearizable read must wait for
-    ADD_MEMBER = 2  #: add the `raft.messages.Member` in `data`
-    REMOVE_MEMBER = 3  #: remove the member whose identifier is in `data`
-    TRANSFER_LEADERSHIP = 4  #: hand the leadership to the member whose identifier is in `data`
+    WRITE = 0  #: Append the command in `data`; the reply carries its `CommandResult`
+    READ_INDEX = 1  #: Return the log index that a linearizable read must wait for
+    ADD_MEMBER = 2  #: Add the `raft.messages.Member` in `data`
+    REMOVE_MEMBER = 3  #: Remove the member whose identifier is in `data`
+    TRANSFER_LEADERSHIP = 4  #: Transfer the leadership to the member whose identifier is in `data`
 
 
 class ReplyStatus(IntEnum):
-    """The outcome of a request."""
+    """Outcome of a request."""
 
     DONE = 0
-    REFUSED = 1  #: the request is invalid; `data` holds the reason as text
-    BUSY = 2  #: too many requests are pending; nothing was done
-    NOT_LEADER = 3  #: the receiver does not lead; nothing was done
+    REFUSED = 1  #: The request is invalid; `data` contains the reason as text
+    BUSY = 2  #: Too many requests are pending; nothing was done
+    NOT_LEADER = 3  #: The receiver does not lead; nothing was done
 
 
 class Request(msgspec.Struct, frozen=True, array_like=True, tag="Ask"):
-    """A request to the leader; the reply repeats `number`."""
+    """A request to the leader; the reply echoes `number`."""
 
     number: int
     kind: RequestKind
@@ -46,7 +46,7 @@
 
 
 StoreMessage = RaftMessage | Request | Reply
-AddressedMessage = tuple[int, StoreMessage]  #: with the identifier of the member that it goes to
+AddressedMessage = tuple[int, StoreMessage]  #: The recipient's identifier and the message
 
 _encode = msgspec.msgpack.Encoder().encode
 _decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(StoreMessage)
--- a/limerudder/store/sessions.py
+++ b/limerudder/store/sessions.py
@@ -1,7 +1,7 @@
 """Client sessions, which make retried writes idempotent (Ongaro's dissertation, section 6.3).
 
 A client numbers its writes within a session. The state machine keeps each result until the client has
-acknowledged it, and answers a repeated serial number with the result that it kept.
+acknowledged it, and answers a repeated serial number with the stored result.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
     def __init__(self, acknowledged_serial: int = 0, results: dict[int, CommandResult] | None = None) -> None:
         self.acknowledged_serial = acknowledged_serial
-        self.results = results or {}  # by serial number
+        self.results = results or {}  # Results by serial number
 
     def acknowledge(self, serial: int) -> None:
         """Discards the results up to this serial number, which the client has received."""
@@ -32,8 +32,8 @@
 
     def __init__(self) -> None:
         self.last_serial = 0
-        self.acknowledged_serial = 0  # all requests up to this one have been answered
-        self._answered: set[int] = set()  # those after `acknowledged_serial`
+        self.acknowledged_serial = 0  # All requests up to this one have been answered
+        self._answered: set[int] = set()  # Answered requests after `acknowledged_serial`
 
     def next_serial(self) -> int:
         """Returns the serial number for a new request."""
--- a/limerudder/store/settings_applier.py
+++ b/limerudder/store/settings_applier.py
@@ -1,4 +1,4 @@
-"""Applies the settings that are changed through the store while the node serves."""
+"""Applies settings that are changed through the store while the node is running."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 LOG_KEY = "config/log"
 MICROSECONDS_PER_SECOND = 1e6
 
-ConfigureLog = Callable[[str, int, float], None]  #: format, lines of a kind in a window, seconds of a window
+#: Parameters: format, maximum lines of a kind in a window, length of the window in seconds
+ConfigureLog = Callable[[str, int, float], None]
 
 
 class SettingsApplier:
-    """Applies each revision of a setting once; a value that breaks the schema is logged and ignored."""
+    """Applies each revision of a setting once; a value that violates the schema is logged and ignored."""
 
     def __init__(
         self,
@@ -31,7 +32,7 @@
         self._log = log
         self._configure_log = configure_log
         self._set_discovery_address = set_discovery_address
-        self._applied_revisions: dict[str, int] = {}  # by key
+        self._applied_revisions: dict[str, int] = {}  # Last applied revision of each key
 
     def initial_discovery_address(self) -> Address | None:
         """Return the address of discovery for the node's configuration, or None if there is no setting."""
@@ -39,7 +40,7 @@
         return parse_address(text) if text else None
 
     def apply_log_settings(self) -> None:
-        """Apply the settings of the log that are known when the node starts."""
+        """Apply the log settings that are available when the node starts."""
         log_settings = self._read(LOG_KEY)
         if log_settings:
             self._apply(LOG_KEY, log_settings)
@@ -47,8 +48,8 @@
     def apply_changes(self) -> None:
         """Apply the settings that have changed since they were applied last."""
         for key in SETTINGS:
-            known = self._member.known_value(key)
-            if known.value is None or known.modified_revision <= self._applied_revisions.get(key, 0):
+            stored = self._member.known_value(key)
+            if stored.value is None or stored.modified_revision <= self._applied_revisions.get(key, 0):
                 continue
             setting = self._read(key)
             if setting is not None:
@@ -56,12 +57,12 @@
 
     def _read(self, key: str) -> Any:
         """Return a setting with its defaults, or None if there is none or it is invalid."""
-        known = self._member.known_value(key)
-        if known.value is None:
+        stored = self._member.known_value(key)
+        if stored.value is None:
             return None
-        self._applied_revisions[key] = known.modified_revision
+        self._applied_revisions[key] = stored.modified_revision
         try:
-            return read_setting(key, known.value)
+            return read_setting(key, stored.value)
         except ValueError as error:
             self._log(LogKind.STORE_CONFIG, f"store: {error}; ignored")
             return None
--- a/limerudder/store/status.py
+++ b/limerudder/store/status.py
@@ -1,4 +1,4 @@
-"""What the control calls `status` and `members` answer; the names of the JSON fields are fixed."""
+"""Answers of the control calls `status` and `members`; the names of the JSON fields must not change."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     name: str
     member: str
     role: str = msgspec.field(name="standing")
-    leader: str  # empty if there is none
+    leader: str  # Empty if there is no leader
     term: int
     revision: int
     committed_index: int = msgspec.field(name="committed")
@@ -34,14 +34,14 @@
     sessions: int
     pending_calls: int = msgspec.field(name="waiting")
     pending_facts: int = msgspec.field(name="facts_waiting")
-    disk_error: str = msgspec.field(name="disk_failing")  # of the write that is being retried
+    disk_error: str = msgspec.field(name="disk_failing")  # Error of the write that is being retried
     is_disk_stalled: bool = msgspec.field(name="disk_stuck")
     dropped_messages: int = msgspec.field(name="dropped")
     starts: int = msgspec.field(name="start")
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """One member of the cluster, and how far it is as far as the member that is asked knows."""
+    """One member of the cluster, and its replication progress as recorded by the answering member."""
 
     name: str
     member: str
@@ -49,8 +49,9 @@
     role: str
     is_leader: bool = msgspec.field(name="leads")
     is_connected: bool = msgspec.field(name="connected")
-    match_index: int | None = msgspec.field(name="match")  # None unless the member that is asked leads
-    last_heard_ms: int | None = msgspec.field(name="heard_ms")  # ago; None likewise
+    match_index: int | None = msgspec.field(name="match")  # None unless the answering member leads
+    # Time since the member's last message; None unless the answering member leads
+    last_heard_ms: int | None = msgspec.field(name="heard_ms")
 
 
 def store_status(store: Store) -> StoreStatus:
@@ -84,7 +85,7 @@
 
 
 def member_statuses(store: Store) -> list[MemberStatus]:
-    """Return the members of the cluster as a member knows them."""
+    """Return the members of the cluster according to this member."""
     return [_member_status(store, entry) for entry in store.member.config.members]
 
 
--- a/limerudder/store/store.py
+++ b/limerudder/store/store.py
@@ -1,4 +1,4 @@
-"""A running member: wires the member's logic to its disk, its peers and the clock of an event loop."""
+"""A running member: connects the member's logic to its disk, its peers and an event loop's clock."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from limerudder.store.raft.state import RaftRole, RaftTiming
 from limerudder.store.status import MemberStatus, StoreStatus, member_statuses, store_status
 
-TICK_SECONDS = 0.01  #: between checks of the member's deadlines, which are far longer
-CLOSE_TIMEOUT_SECONDS = 0.5  #: for the last jobs to become durable
+TICK_SECONDS = 0.01  #: Interval of checks of the member's deadlines, which are far longer
+CLOSE_TIMEOUT_SECONDS = 0.5  #: Maximum wait for the last jobs to become durable
 RANDOM_SEED_BITS = 64
-UNREPORTED_LEADER = -1  #: differs from the identifier of every member, and from that of no leader
+UNREPORTED_LEADER = -1  #: Differs from every member's identifier and from NO_LEADER
 
 
 class Store:
-    """One member, running. All methods are called from its event loop.
+    """One running member. All methods must be called from its event loop.
 
-    `now_us` is a clock in microseconds that never goes back.
+    `now_us` is a monotonic clock in microseconds.
     """
 
     def __init__(self, settings: StoreSettings, log: LogSink, now_us: Callable[[], int]) -> None:
@@ -70,25 +70,25 @@
         self._durable_term = contents.durable_state.raft_state.hard_state.term
         self._output_scheduled = False
         self._reported_leader = UNREPORTED_LEADER
-        self._config: ClusterConfig | None = None  # that the transport connects to
+        self._config: ClusterConfig | None = None  # Configuration last passed to the transport
         self._writer: DiskWriter | None = None
         self._tick_timer: asyncio.TimerHandle | None = None
 
     async def run(self, bound_socket: socket.socket) -> None:
-        """Begin to talk to the other members, which connect to this socket."""
-        self._writer = DiskWriter(self._disk, self._jobs_durable, self._log)
+        """Start exchanging messages with the other members, which connect to this socket."""
+        self._writer = DiskWriter(self._disk, self._on_jobs_durable, self._log)
         await self.transport.listen(bound_socket)
         self._tick()
 
     def close(self) -> None:
-        """End, after a short wait for jobs that are not durable yet; may be called again."""
+        """Close after a short wait for jobs that are not durable yet; may be called again."""
         if self.is_closed:
             return
         self.is_closed = True
         if self._tick_timer:
             self._tick_timer.cancel()
         if self.member.is_leader:
-            self._hand_over_leadership()
+            self._transfer_leadership()
         self.transport.close()
         if self._writer:
             self._writer.close(CLOSE_TIMEOUT_SECONDS)
@@ -105,15 +105,15 @@
         return store_status(self)
 
     def member_statuses(self) -> list[MemberStatus]:
-        """Return the members of the cluster, and how far each is as far as this one knows."""
+        """Return the members of the cluster, with their replication progress as recorded by this one."""
         return member_statuses(self)
 
     def schedule_output(self) -> None:
-        """Have the member's output carried out soon; the events until then share a write and messages."""
+        """Schedule the processing of output; events until then share a disk write and messages."""
         if self._output_scheduled or self.is_closed:
             return
         self._output_scheduled = True
-        self._loop.call_soon(self._carry_out_output)
+        self._loop.call_soon(self._process_output)
 
     def create_handshake(self, recipient_id: int) -> Handshake:
         """Return this member's handshake for a peer."""
@@ -140,26 +140,26 @@
         return reason
 
     def message_received(self, sender_id: int, message: rpc.StoreMessage) -> None:
-        """Take a message of an accepted peer."""
+        """Handle a message of an accepted peer."""
         if isinstance(message, AppendEntriesReply) and message.success:
             self._authenticator.record_acknowledgement(sender_id, message.term, message.index)
         self.member.receive(sender_id, message, self.now_us())
         self.schedule_output()
 
-    def _hand_over_leadership(self) -> None:
-        """Spare clients the election timeout that would follow if the leader just disappeared."""
+    def _transfer_leadership(self) -> None:
+        """Save clients the election timeout that would follow if the leader closed without a transfer."""
         self.member.raft.transfer_to_best_follower(self.now_us())
         output = self.member.take_output(self.now_us())
         if output:
             self._dispatcher.send(output.messages)
 
-    def _carry_out_output(self) -> None:
+    def _process_output(self) -> None:
         self._output_scheduled = False
         if self.is_closed or self._writer is None:
             return
         output = self.member.take_output(self.now_us())
         if output:
-            self.schedule_output()  # for what follows from this output, after it has been carried out
+            self.schedule_output()  # Processes further output that results from this one
             self._dispatcher.dispatch(output, self._writer)
         self._update_transport_members()
         self._report_leader()
@@ -171,7 +171,7 @@
             self.transport.set_members(config)
 
     def _report_leader(self) -> None:
-        """Log a new leader, or that there is none unless an election is going on."""
+        """Log a new leader, or its absence unless an election is in progress."""
         raft = self.member.raft
         if raft.leader_id == self._reported_leader:
             return
@@ -182,15 +182,15 @@
         text = f"{leader.name} is the leader" if leader else "there is no leader"
         self._log(LogKind.STORE_LEADER, f"store: {text} in term {raft.term}")
 
-    def _jobs_durable(self, jobs: list[DurabilityJob], snapshots: list[Snapshot | None]) -> None:
+    def _on_jobs_durable(self, jobs: list[DurabilityJob], snapshots: list[Snapshot | None]) -> None:
         now_us = self.now_us()
         for job, snapshot in zip(jobs, snapshots, strict=True):
-            self._job_durable(job, snapshot, now_us)
+            self._on_job_durable(job, snapshot, now_us)
         self._dispatcher.send_deferred()
         if not self.is_closed:
-            self._carry_out_output()
+            self._process_output()
 
-    def _job_durable(self, job: DurabilityJob, snapshot: Snapshot | None, now_us: int) -> None:
+    def _on_job_durable(self, job: DurabilityJob, snapshot: Snapshot | None, now_us: int) -> None:
         self._dispatcher.on_job_durable(job.number)
         if job.raft_write and job.raft_write.hard_state:
             self._durable_term = job.raft_write.hard_state.term
@@ -207,7 +207,7 @@
         now_us = self.now_us()
         if now_us >= self.member.next_deadline():
             self.member.tick(now_us)
-            self._carry_out_output()
+            self._process_output()
 
 
 def _member_limits(settings: StoreSettings) -> MemberLimits:
--- a/limerudder/store/store_marks.py
+++ b/limerudder/store/store_marks.py
@@ -1,4 +1,4 @@
-"""Maintenance marks that hold for the whole tier."""
+"""Maintenance marks that apply to the whole tier."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class StoreMarks:
-    """Keeps the hosts in maintenance in the store's drain log, and this node's local marks equal to it.
+    """Records the hosts in maintenance in the store's drain log, and synchronizes this node's local marks.
 
-    Other processes of this node have only the local marks. What one of them changes there is recorded in
+    Other processes of this node can access only the local marks. Changes that they make there are recorded in
     the drain log.
     """
 
     def __init__(self, bridge: NodeStoreBridge, local_marks: MaintenanceMarks) -> None:
         self._bridge = bridge
         self._local_marks = local_marks
-        self._last_synchronized = bridge.held_hosts()  # the local marks as this process has left them
+        self._last_synchronized = bridge.held_hosts()  # Local marks as last written by this process
         for name in self._last_synchronized - local_marks.read():
             local_marks.add(name)
 
     def read(self) -> set[str]:
-        """Return all hosts in maintenance, after taking over what has changed on either side."""
+        """Return all hosts in maintenance, after synchronizing changes on either side."""
         local = self._local_marks.read()
         for name in local - self._last_synchronized:
             self._bridge.hold_host(name)
@@ -42,7 +42,7 @@
         self._bridge.hold_host(name)
 
     def remove(self, name: str) -> None:
-        """Return a host to service; that also lifts a drain that is remembered."""
+        """Return a host to service; this also ends a recorded drain."""
         self._local_marks.remove(name)
         self._last_synchronized = self._last_synchronized - {name}
         self._bridge.return_host(name)
