--- a/tests/test_store_control.py
+++ b/tests/test_store_control.py
@@ -1,4 +1,4 @@
-"""The control socket: answers and errors of the calls, malformed input, watches, and the commands."""
+"""The control socket: answers and errors of calls, malformed input, watches, and the state commands."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class InvalidCall(NamedTuple):
-    """A call of the control socket that fails, and the kind of its error."""
+    """A control socket call that must fail, and the expected error kind."""
 
     name: str
     arguments: dict[str, Any]
@@ -58,14 +58,14 @@
 
 
 class CommandResult(NamedTuple):
-    """How a command ended, and what it printed."""
+    """The exit code and standard output of a command."""
 
     exit_code: int
     output: str
 
 
 def bind_loopback_socket() -> socket.socket:
-    """Return a socket on an unused port of loopback."""
+    """Return a socket on an unused loopback port."""
     bound_socket = socket.socket()
     bound_socket.bind(("127.0.0.1", 0))
     bound_socket.setblocking(False)
@@ -73,11 +73,11 @@
 
 
 def ignore_log(kind: LogKind, text: str, /, detail: str = "") -> None:
-    """Log nothing."""
+    """Discard a log line."""
 
 
 class InProcessCluster:
-    """One or more members in this process, and callers of their control sockets."""
+    """Members that run in this process, with calls to their control sockets."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -101,11 +101,11 @@
             self.controls.append(control)
 
     async def connect(self, number: int = 0) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        handle = os.open(self.stores[number].settings.folder, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(self.stores[number].settings.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            return await asyncio.open_unix_connection(f"/proc/self/fd/{handle}/control", limit=1 << 23)
+            return await asyncio.open_unix_connection(f"/proc/self/fd/{descriptor}/control", limit=1 << 23)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     async def call(self, name: str, number: int = 0, **arguments: Any) -> dict[str, Any]:
         reader, writer = await self.connect(number)
@@ -154,12 +154,12 @@
         for invalid in INVALID_CALLS:
             answer = await cluster.call(invalid.name, **invalid.arguments)
             assert (answer["ok"], answer.get("kind")) == (False, invalid.error_kind), (invalid, answer)
-        assert (await cluster.call("status"))["revision"] == 4, "and nothing was done"
+        assert (await cluster.call("status"))["revision"] == 4, "an invalid call must not change the state"
 
     run_scenario(scenario, tmp_path)
 
 
-def test_a_too_long_line_and_malformed_input_cost_the_caller_alone(tmp_path: Path) -> None:
+def test_an_overlong_line_and_malformed_input_affect_only_the_caller(tmp_path: Path) -> None:
     async def scenario(cluster: InProcessCluster) -> None:
         await cluster.start()
         reader, writer = await cluster.connect()
@@ -170,12 +170,12 @@
             writer.write(line + b"\n")
             assert json.loads(await reader.readline())["kind"] == "wrong"
             writer.close()
-        # and on the members' port
+        # The same applies to the members' port
         for data in (b"GET / HTTP/1.1\r\n\r\n", os.urandom(300), (1 << 31).to_bytes(4, "big") + bytes(4)):
             reader, writer = await asyncio.open_connection(*cluster.stores[0].settings.listen)
             writer.write(data)
             writer.write_eof()
-            assert await reader.read() == b"", "an unknown peer gets no answer"
+            assert await reader.read() == b"", "an unknown peer receives no answer"
             writer.close()
         assert any("store: rejected" in line for line in cluster.logged)
         assert (await cluster.call("put", key="kv/a", value="1"))["ok"]
@@ -206,12 +206,12 @@
         session = (await cluster.call("open", 0))["session"]
         arguments = {"session": session, "serial": 1, "seen": 0, "then": [{"put": "kv/a", "value": "1"}]}
         answers = [await cluster.call("do", number, **arguments) for number in (0, 1, 2, 0)]
-        assert [answer["revision"] for answer in answers] == [1] * 4, "at whichever member it is retried"
+        assert [answer["revision"] for answer in answers] == [1] * 4, "every member returns the same result"
 
     run_scenario(scenario, tmp_path)
 
 
-def test_a_restarted_member_knows_drains_without_a_quorum(tmp_path: Path) -> None:
+def test_a_restarted_member_restores_drains_without_a_quorum(tmp_path: Path) -> None:
     async def scenario(cluster: InProcessCluster) -> None:
         await cluster.start(3)
         for number in range(3):
@@ -221,7 +221,7 @@
             await asyncio.sleep(0.001)
         stopped.schedule_output()
         cluster.close()
-        restarted = Store(stopped.settings, ignore_log, Clock().now_us)  # and no other member
+        restarted = Store(stopped.settings, ignore_log, Clock().now_us)  # The other members are stopped
         record = restarted.member.drain_log.effective_record("h")
         assert record.excludes(7)
         assert not record.excludes(8)
@@ -237,10 +237,10 @@
 
 
 def check_commands_without_a_member(folder: Path) -> None:
-    created = str(folder / "made")
+    created = str(folder / "created")
     member_folder = created + "/n0"
     assert run_command("init", created, "n0=127.0.0.1:1", "n1=127.0.0.1:2").exit_code == ExitCode.OK
-    assert run_command("init", created, "n0=127.0.0.1:1").exit_code == ExitCode.REJECTED, "it exists"
+    assert run_command("init", created, "n0=127.0.0.1:1").exit_code == ExitCode.REJECTED, "directory exists"
     assert run_command("init", created).exit_code == ExitCode.INVALID_INPUT
     assert run_command("init", created, "n0=nowhere").exit_code == ExitCode.INVALID_INPUT
     assert run_command("--folder", member_folder, "status").exit_code == ExitCode.UNAVAILABLE
@@ -287,7 +287,7 @@
 
 
 async def start_joined_member(folder: str, join_token: str, bound_socket: socket.socket) -> Store:
-    """Start a member that has been added to a cluster, from the token that it was given."""
+    """Create and start a member that was added to a cluster, from its join token."""
     result = CliRunner().invoke(main, ["state", "init", folder, "--ticket", join_token])
     assert result.exit_code == 0, result.output
     settings = StoreSettings(folder, bound_socket.getsockname(), **LIMITS)
@@ -300,7 +300,7 @@
 def test_a_member_joins_catches_up_and_is_removed(tmp_path: Path, role: str) -> None:
     async def scenario(cluster: InProcessCluster) -> None:
         await cluster.start(snapshot_entries=100)
-        for n in range(250):  # so that only a snapshot can bring it up
+        for n in range(250):  # Enough entries that the new member requires a snapshot
             await cluster.call("put", key=f"kv/{n}", value="x" * 200)
         bound_socket = bind_loopback_socket()
         address = "{}:{}".format(*bound_socket.getsockname())
@@ -313,14 +313,15 @@
             if rows["n1"]["role"] == role and len(joined.member.state.items) == 250:
                 break
             await asyncio.sleep(0.005)
-        assert joined.member.raft.snapshot, "it came by a snapshot"
+        assert joined.member.raft.snapshot, "the member must catch up through a snapshot"
         added_twice = await cluster.call("add", member="n1", address="127.0.0.1:9")
         assert added_twice["kind"] == "refused" and "is a member already" in added_twice["error"]
         removed = await cluster.call("remove", member="n1")
         while not removed["ok"]:
-            assert "another change is under way" in removed["error"]  # it has just become a voter
+            # The change to a voter may not be committed yet
+            assert "another change is under way" in removed["error"]
             removed = await cluster.call("remove", member="n1")
         assert [row["name"] for row in (await cluster.call("members"))["members"]] == ["n0"]
-        assert (await cluster.call("put", key="kv/last", value="1"))["ok"], "it leads alone again"
+        assert (await cluster.call("put", key="kv/last", value="1"))["ok"], "n0 accepts writes alone again"
 
     run_scenario(scenario, tmp_path)
--- a/tests/test_store_peer_authentication.py
+++ b/tests/test_store_peer_authentication.py
@@ -1,4 +1,4 @@
-"""Which peers a member accepts."""
+"""Tests of which peers a member accepts or rejects."""
 
 from __future__ import annotations
 
@@ -68,4 +68,4 @@
 def test_an_older_disk_is_accepted_by_a_member_without_an_earlier_proof() -> None:
     older = _with(incarnation=Incarnation(1, 1))
     reason = _authenticator().rejection_reason(older, CONFIG, True)
-    assert reason is None, "an older disk is recognised only by the proofs remembered here"
+    assert reason is None, "an older disk is detected only by the recorded proofs"
