--- a/limerudder/store/control_calls.py
+++ b/limerudder/store/control_calls.py
@@ -114,7 +114,7 @@
     else:
         single_item = state.get(arguments.key)
         if single_item is None:
-            context.respond(CallFailure(CallFailureKind.NOT_THERE, f"there is no {arguments.key}"))
+            context.respond(CallFailure(CallFailureKind.NOT_FOUND, f"there is no {arguments.key}"))
             return
         items = [item_to_json(arguments.key, single_item)]
     staleness_us = context.member.max_staleness_us(context.store.now_us())
--- a/limerudder/store/peer_connection.py
+++ b/limerudder/store/peer_connection.py
@@ -27,7 +27,7 @@
 _handshake_decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Handshake | str)
 
 
-class PeerObserver(Protocol):
+class PeerHandler(Protocol):
     """The interface of a member to its connections."""
 
     def create_handshake(self, recipient_id: int) -> Handshake:
@@ -68,7 +68,7 @@
     def __init__(
         self,
         owner: ConnectionOwner,
-        observer: PeerObserver,
+        handler: PeerHandler,
         log: LogSink,
         dialled_member_id: int = UNKNOWN_MEMBER,
     ) -> None:
@@ -76,7 +76,7 @@
         self.member_id = dialled_member_id
         self.state = ConnectionState.CONNECTING
         self._owner = owner
-        self._observer = observer
+        self._handler = handler
         self._log = log
         self._decoder = FrameDecoder(MAX_HANDSHAKE_BYTES)
         self._transport: asyncio.Transport | None = None
@@ -132,7 +132,7 @@
 
     def _payload_received(self, payload: bytes) -> None:
         if self.state is ConnectionState.ESTABLISHED:
-            self._observer.message_received(self.member_id, rpc.decode_message(payload))
+            self._handler.message_received(self.member_id, rpc.decode_message(payload))
         elif self.state is ConnectionState.HANDSHAKING:
             self._handshake_received(_handshake_decoder.decode(payload))
 
@@ -150,7 +150,7 @@
         self._establish(handshake.sender_id)
 
     def _rejection_reason(self, handshake: Handshake) -> str | None:
-        reason = self._observer.handshake_rejection(handshake)
+        reason = self._handler.handshake_rejection(handshake)
         if reason is None and self.is_dialled and handshake.sender_id != self.member_id:
             return f"is member {handshake.sender_id:016x} and not {self.member_id:016x}"
         return reason
@@ -175,7 +175,7 @@
             self._handshake_timer.cancel()
 
     def _send_handshake(self) -> None:
-        self._send_payload(self._observer.create_handshake(self.member_id))
+        self._send_payload(self._handler.create_handshake(self.member_id))
 
     def _send_payload(self, payload: Handshake | str) -> None:
         if self._transport:
--- a/limerudder/store/peer_transport.py
+++ b/limerudder/store/peer_transport.py
@@ -13,7 +13,7 @@
 from limerudder.core.transport import Address, parse_address
 from limerudder.store import rpc
 from limerudder.store.framing import encode_frame
-from limerudder.store.peer_connection import UNKNOWN_MEMBER, PeerConnection, PeerObserver
+from limerudder.store.peer_connection import UNKNOWN_MEMBER, PeerConnection, PeerHandler
 from limerudder.store.raft.messages import ClusterConfig
 
 REDIAL_SECONDS = 0.1  #: Delay after a failed or closed connection
@@ -23,9 +23,9 @@
 class PeerTransport:
     """Dials the other members, accepts connections from them, and sends messages to them."""
 
-    def __init__(self, observer: PeerObserver, member_id: int, log: LogSink) -> None:
+    def __init__(self, handler: PeerHandler, member_id: int, log: LogSink) -> None:
         self.dropped_messages = 0
-        self._observer = observer
+        self._handler = handler
         self._member_id = member_id
         self._log = log
         self._addresses: dict[int, Address] = {}  # Addresses of the other members, by member
@@ -103,7 +103,7 @@
             self._schedule_redial(connection.member_id)
 
     def _create_connection(self, member_id: int = UNKNOWN_MEMBER) -> PeerConnection:
-        return PeerConnection(self, self._observer, self._log, member_id)
+        return PeerConnection(self, self._handler, self._log, member_id)
 
     def _established_connections(self, connection: PeerConnection) -> dict[int, PeerConnection]:
         return self._dialled if connection.is_dialled else self._accepted
