--- a/harness/simulated_client.py
+++ b/harness/simulated_client.py
@@ -92,7 +92,7 @@
         call(member.running_process, answer_once)
         if member.process and member.generation == generation:
             member.run_output()
-        crashed = CallFailure(CallFailureKind.NOT_NOW, "the member crashed", True)
+        crashed = CallFailure(CallFailureKind.UNAVAILABLE, "the member crashed", True)
         self._environment.clock.schedule(CRASH_TIMEOUT_US, lambda: answer_once(crashed, 0))
 
     def _open_session(self, member: SimulatedMember) -> None:
--- a/limerudder/store/calls.py
+++ b/limerudder/store/calls.py
@@ -17,7 +17,7 @@
 
     REFUSED = "refused"  #: The request is invalid
     BUSY = "busy"  #: Too many requests are pending
-    NOT_NOW = "not_now"  #: There is no leader, or no reply arrived before the deadline
+    UNAVAILABLE = "not_now"  #: There is no leader, or no reply arrived before the deadline
     NOT_FOUND = "not_there"  #: The key or member does not exist
 
 
--- a/limerudder/store/client_calls.py
+++ b/limerudder/store/client_calls.py
@@ -29,7 +29,7 @@
         """Returns the failure that is reported once the deadline has passed."""
         text = "no answer came in time" if leader_id else "nobody leads"
         changes_state = self.request.kind != RequestKind.READ_INDEX
-        return CallFailure(CallFailureKind.NOT_NOW, text, outcome_unknown=self.was_sent and changes_state)
+        return CallFailure(CallFailureKind.UNAVAILABLE, text, outcome_unknown=self.was_sent and changes_state)
 
 
 class ClientCalls:
--- a/limerudder/store/control_writes.py
+++ b/limerudder/store/control_writes.py
@@ -76,7 +76,7 @@
 
     def _write_in_session(self, transaction: Transaction, deadline_us: int, respond: Respond) -> None:
         if self._session_id == NO_SESSION:
-            respond(CallFailure(CallFailureKind.NOT_NOW, "no session could be opened: nothing was done"))
+            respond(CallFailure(CallFailureKind.UNAVAILABLE, "no session could be opened: nothing was done"))
             return
         serial = self._sequence.next_serial()
 
