--- a/limerudder/store/calls.py
+++ b/limerudder/store/calls.py
@@ -15,7 +15,7 @@
 class CallFailureKind(StrEnum):
     """Reason why a call failed; the values are part of the control socket's protocol."""
 
-    REFUSED = "refused"  #: The request is invalid
+    REJECTED = "refused"  #: The request is invalid
     BUSY = "busy"  #: Too many requests are pending
     UNAVAILABLE = "not_now"  #: There is no leader, or no reply arrived before the deadline
     NOT_FOUND = "not_there"  #: The key or member does not exist
--- a/limerudder/store/client_calls.py
+++ b/limerudder/store/client_calls.py
@@ -81,7 +81,7 @@
             call.callback(reply.data, now_us)
             return
         busy = reply.status == ReplyStatus.BUSY
-        kind = CallFailureKind.BUSY if busy else CallFailureKind.REFUSED
+        kind = CallFailureKind.BUSY if busy else CallFailureKind.REJECTED
         call.callback(CallFailure(kind, reply.data.decode("utf-8", "replace")), now_us)
 
     def tick(self, in_progress_here: Set[int], now_us: int) -> None:
--- a/limerudder/store/control_calls.py
+++ b/limerudder/store/control_calls.py
@@ -214,7 +214,7 @@
     def on_written(future: asyncio.Future[None]) -> None:
         error = future.exception()
         if error:
-            context.respond(CallFailure(CallFailureKind.REFUSED, f"cannot write {path}: {error}"))
+            context.respond(CallFailure(CallFailureKind.REJECTED, f"cannot write {path}: {error}"))
         else:
             context.respond({"path": path, "revision": revision, "entry": snapshot_job.index})
 
--- a/limerudder/store/control_writes.py
+++ b/limerudder/store/control_writes.py
@@ -33,7 +33,7 @@
     if isinstance(outcome, CallFailure):
         return outcome
     if outcome.error:
-        return CallFailure(CallFailureKind.REFUSED, outcome.error)
+        return CallFailure(CallFailureKind.REJECTED, outcome.error)
     if isinstance(command, OpenSession):
         return {"session": outcome.index}
     transaction = command.transaction if isinstance(command, SessionWrite) else Transaction()
--- a/limerudder/store/leader_requests.py
+++ b/limerudder/store/leader_requests.py
@@ -61,7 +61,7 @@
         try:
             self._start(origin, request, now_us)
         except MembershipChangeError as exc:
-            self._reply(origin, ReplyStatus.REFUSED, str(exc).encode(), now_us)
+            self._reply(origin, ReplyStatus.REJECTED, str(exc).encode(), now_us)
         except NotLeaderError:
             self._reply(origin, ReplyStatus.NOT_LEADER, b"", now_us)
 
--- a/limerudder/store/member.py
+++ b/limerudder/store/member.py
@@ -137,7 +137,7 @@
         if isinstance(command, SessionWrite):
             error = self._validate(command.transaction, self._limits.max_value_bytes)
             if error:
-                callback(CallFailure(CallFailureKind.REFUSED, error), now_us)
+                callback(CallFailure(CallFailureKind.REJECTED, error), now_us)
                 return
 
         def on_reply(outcome: bytes | CallFailure, now_us: int) -> None:
--- a/limerudder/store/rpc.py
+++ b/limerudder/store/rpc.py
@@ -24,7 +24,7 @@
     """Outcome of a request."""
 
     DONE = 0
-    REFUSED = 1  #: The request is invalid; `data` contains the reason as text
+    REJECTED = 1  #: The request is invalid; `data` contains the reason as text
     BUSY = 2  #: Too many requests are pending; nothing was done
     NOT_LEADER = 3  #: The receiver does not lead; nothing was done
 
