--- a/limerudder/store/backup.py
+++ b/limerudder/store/backup.py
@@ -1,4 +1,4 @@
-"""The backup file: frames of a header and of the chunks of one snapshot."""
+"""Backup files: a header followed by the chunks of one snapshot, each in a frame."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from limerudder.store.raft.messages import Snapshot, SnapshotMeta, snapshot_digest
 
 BACKUP_FORMAT_VERSION = 1
-PARTIAL_FILE_SUFFIX = ".part"  #: of a backup that is being written
+PARTIAL_FILE_SUFFIX = ".part"  #: File name suffix while a backup is being written
 
 
 class BackupHeader(msgspec.Struct, frozen=True, array_like=True):
@@ -34,7 +34,7 @@
 
 
 def write_backup(path: str, cluster_id: int, snapshot: Snapshot) -> None:
-    """Write a backup, which appears at its path complete or not at all. Raises OSError."""
+    """Write a backup and atomically move it to its path. Raises OSError."""
     partial_path = path + PARTIAL_FILE_SUFFIX
     header = BackupHeader(BACKUP_FORMAT_VERSION, cluster_id, snapshot.meta)
     with open(partial_path, "wb") as file:
@@ -55,11 +55,11 @@
     except OSError as error:
         raise InvalidBackupError(f"cannot read {path}: {error.strerror}") from error
     except (FrameError, ValueError, msgspec.DecodeError) as error:
-        raise InvalidBackupError(f"{path} is no backup: {error}") from error
+        raise InvalidBackupError(f"{path} is not a valid backup: {error}") from error
     if header.format > BACKUP_FORMAT_VERSION:
         raise UnsupportedFormatError(
             f"{path} has format {header.format}; this build reads up to {BACKUP_FORMAT_VERSION}"
         )
     if len(chunks) != header.meta.chunk_count or snapshot_digest(chunks) != header.meta.digest:
-        raise InvalidBackupError(f"{path} is not whole")
+        raise InvalidBackupError(f"{path} is incomplete or corrupted")
     return Backup(header, Snapshot(header.meta, tuple(chunks)))
--- a/limerudder/store/data_directory.py
+++ b/limerudder/store/data_directory.py
@@ -1,6 +1,6 @@
 """Creates members' data directories: for a new cluster, a joining member, or from a backup.
 
-No process has these directories open meanwhile. `recovery` deals with a cluster that has lost its quorum.
+The members must not be running. For a cluster that has lost its quorum, see `recovery`.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 ID_BITS = 63
 NO_VOTE = 0
-RESTORED_TERM = 1  #: the term of a restored snapshot, and the first of the new cluster
+RESTORED_TERM = 1  #: Term of a restored snapshot and first term of its cluster
 
 
 class MemberAddress(NamedTuple):
-    """A member that a cluster begins with: its name, and where the others reach it."""
+    """Name and address of an initial member of a cluster."""
 
     name: str
     address: str  # IPv4:PORT
 
 
 class JoinToken(msgspec.Struct, frozen=True, array_like=True):
-    """What a new member's data directory is created from."""
+    """Cluster and identity of a new member, from which its data directory is created."""
 
     cluster_id: int
     member: Member
@@ -44,19 +44,19 @@
 
 
 def random_id() -> int:
-    """Return a new random identifier of a member or cluster; never 0."""
+    """Return a new random identifier of a member or cluster, which is never 0."""
     return secrets.randbits(ID_BITS) | 1
 
 
 def init_cluster(parent_directory: str, members: Sequence[MemberAddress | tuple[str, str]]) -> list[str]:
     """Create a data directory for each member of a new cluster; return their paths.
 
-    Each is to be moved to its member's machine. Raises DiskError.
+    The operator moves each directory to its member's machine. Raises DiskError.
     """
     names = {name for name, _ in members}
     addresses = {address for _, address in members}
     if len(names) < len(members) or len(addresses) < len(members):
-        raise InvalidMembersError("each member needs a name and an address of its own")
+        raise InvalidMembersError("names and addresses of members must be unique")
     cluster_id = random_id()
     config = ClusterConfig(tuple(Member(random_id(), name, address) for name, address in members))
     directories = []
@@ -68,7 +68,7 @@
 
 
 def encode_join_token(cluster_id: int, member: Member) -> str:
-    """Return the text from which `join_cluster` creates the member's data directory."""
+    """Encode the token from which `join_cluster` creates the member's data directory."""
     return base64.urlsafe_b64encode(_encode(JoinToken(cluster_id, member))).decode()
 
 
@@ -77,14 +77,14 @@
     try:
         return msgspec.msgpack.decode(base64.urlsafe_b64decode(text.encode()), type=JoinToken)
     except (ValueError, msgspec.DecodeError) as error:
-        raise InvalidJoinTokenError(f"that is no ticket: {error}") from error
+        raise InvalidJoinTokenError(f"invalid ticket: {error}") from error
 
 
 def join_cluster(directory: str, token_text: str) -> Member:
     """Create a new member's data directory from its join token. Raises DiskError."""
     token = decode_join_token(token_text)
     member = token.member
-    # a joining member learns the configuration from the leader
+    # a joining member receives the configuration from the leader
     empty_config = ClusterConfig(())
     Disk(directory, MemberIdentity(token.cluster_id, member.id, member.name), empty_config).close()
     return member
@@ -93,7 +93,7 @@
 def restore_backup(
     parent_directory: str, backup_path: str, members: Sequence[MemberAddress | tuple[str, str]]
 ) -> list[str]:
-    """Create the data directories of a new cluster that begins with a backup's state; return their paths.
+    """Create the data directories of a new cluster with the state of a backup; return their paths.
 
     Raises DiskError.
     """
--- a/limerudder/store/disk.py
+++ b/limerudder/store/disk.py
@@ -1,10 +1,10 @@
 """A member's data directory: its durable log, snapshots, drain facts and last known values, in SQLite.
 
 Each batch of jobs is one transaction, which is synced before `persist` returns (write-ahead log,
-`synchronous=FULL`). Every row carries a CRC-32, so that corrupted data is found and named when the directory
-is opened. SQLite cuts the torn tail of the write-ahead log; `wal_check` finds damage in the middle of it.
+`synchronous=FULL`). Every row contains a CRC-32, so that corrupted rows are detected and reported on loading.
+SQLite discards the torn tail of the write-ahead log; `wal_check` detects damage before the tail.
 
-Everything here blocks; `disk_writer.DiskWriter` calls it in a thread beside the event loop.
+All functions block; `disk_writer.DiskWriter` calls them in a thread outside the event loop.
 """
 
 from __future__ import annotations
@@ -60,12 +60,12 @@
 
 
 class DiskContents(NamedTuple):
-    """Everything that a data directory holds."""
+    """The complete contents of a data directory."""
 
     identity: MemberIdentity
     incarnation: Incarnation
     durable_state: DurableState
-    durability_proofs: dict[int, DurabilityProof]  # by member
+    durability_proofs: dict[int, DurabilityProof]  # by member id
 
 
 class Disk:
@@ -74,7 +74,7 @@
     def __init__(
         self, directory: str, identity: MemberIdentity | None = None, config: ClusterConfig | None = None
     ) -> None:
-        """Open a data directory, or create one if an identity is given; raises DiskError."""
+        """Open a data directory, or create one for the given identity; raises DiskError."""
         self.path = os.path.join(directory, DATABASE_FILE)
         self._directory = directory
         self._connection: sqlite3.Connection | None = None
@@ -115,16 +115,16 @@
         return self._connection
 
     def load(self, count_start: bool = True) -> DiskContents:
-        """Read and verify everything; `count_start` records a new incarnation. Raises DiskError."""
+        """Read and verify all data; `count_start` records a new incarnation. Raises DiskError."""
         try:
             return self._load(count_start)
         except sqlite3.Error as error:
             raise DatabaseError(f"{self.path}: {error}") from error
 
     def persist(self, jobs: Sequence[DurabilityJob]) -> list[Snapshot | None]:
-        """Make jobs durable, all in one transaction; return the snapshot built for each of them.
+        """Make jobs durable in one transaction; return the snapshot built for each of them.
 
-        Raises sqlite3.Error if that fails: then nothing was written, and the jobs may be given again.
+        Raises sqlite3.Error on failure; nothing has been written then, and the call can be retried.
         """
         connection = self.connection
         writer = SqliteWriter(connection)
@@ -132,7 +132,7 @@
             return [writer.write_job(job) for job in jobs]
 
     def start_new_cluster(self, identity: MemberIdentity, hard_state: HardState, snapshot: Snapshot) -> None:
-        """Become the data directory of a member of another cluster, whose state is this snapshot."""
+        """Turn this directory into that of a member of a new cluster with the state of this snapshot."""
         connection = self.connection
         writer = SqliteWriter(connection)
         with transaction(connection):
@@ -145,9 +145,11 @@
     def _check_database_exists(self, expected: bool) -> None:
         exists = os.path.exists(self.path)
         if exists and not expected:
-            raise MemberExistsError(f"{self._directory} holds a member already")
+            raise MemberExistsError(f"{self._directory} already contains a member")
         if expected and not exists:
-            raise MemberMissingError(f"{self._directory} holds no member; `limerudder state init` makes one")
+            raise MemberMissingError(
+                f"{self._directory} contains no member; create one with `limerudder state init`"
+            )
 
     def _initialize(self, identity: MemberIdentity, config: ClusterConfig) -> None:
         connection = self.connection
@@ -159,7 +161,7 @@
             writer.put_meta(MetaName.CONFIG, config)
             writer.put_hard_state(INITIAL_HARD_STATE)
             writer.put_meta(MetaName.INCARNATION, INITIAL_INCARNATION)
-        # without this a power failure may lose the directory's entry for the new file
+        # otherwise the directory entry of the new file could be lost in a power failure
         _sync_directory(self._directory)
         _sync_directory(os.path.dirname(os.path.abspath(self._directory)))
 
@@ -193,14 +195,14 @@
 
 
 def _lock_directory(directory: str, create: bool) -> int:
-    """Return the descriptor of the locked lock file."""
+    """Lock the directory and return the descriptor of its lock file."""
     try:
         if create:
             os.makedirs(directory, mode=0o700, exist_ok=True)
         lock_file = os.open(os.path.join(directory, LOCK_FILE), os.O_CREAT | os.O_RDWR, 0o600)
     except OSError as error:
         raise DirectoryUnavailableError(
-            f"{directory}: {error.strerror}; `limerudder state init` makes one"
+            f"{directory}: {error.strerror}; create a member with `limerudder state init`"
         ) from error
     try:
         fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/limerudder/store/disk_errors.py
+++ b/limerudder/store/disk_errors.py
@@ -1,10 +1,10 @@
-"""Errors of a member's data directory and of the files made from it."""
+"""Errors of a member's data directory, of backups and of join tokens."""
 
 from __future__ import annotations
 
 
 class DiskError(Exception):
-    """A data directory or backup that cannot be used; the text says which and why."""
+    """A data directory, backup or join token cannot be used; the message gives the reason."""
 
 
 class DirectoryUnavailableError(DiskError):
@@ -20,15 +20,15 @@
 
 
 class MemberExistsError(DiskError):
-    """A new member was to be created in a directory that holds one already."""
+    """A new member cannot be created in a directory that already contains one."""
 
 
 class MemberMissingError(DiskError):
-    """The directory holds no member."""
+    """The directory contains no member."""
 
 
 class MemberMismatchError(DiskError):
-    """The directory holds another member than the one it was opened for."""
+    """The directory belongs to a different member than expected."""
 
 
 class DatabaseError(DiskError):
@@ -36,20 +36,20 @@
 
 
 class DiskCorruptedError(DiskError):
-    """Stored data does not match its checksum, cannot be decoded or is incomplete."""
+    """Stored data has a wrong checksum, cannot be decoded or is incomplete."""
 
 
 class UnsupportedFormatError(DiskError):
-    """The data was written in a newer format than this build reads."""
+    """The data has a newer format than this build supports."""
 
 
 class InvalidBackupError(DiskError):
-    """A backup file that cannot be read, is damaged or is incomplete."""
+    """A backup file is unreadable, damaged or incomplete."""
 
 
 class InvalidJoinTokenError(DiskError):
-    """A join token that cannot be decoded."""
+    """A join token cannot be decoded."""
 
 
 class InvalidMembersError(DiskError):
-    """A list of members that cannot form a cluster."""
+    """The listed members cannot form a cluster."""
--- a/limerudder/store/recovery.py
+++ b/limerudder/store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery after a quorum is lost for good: one member's data becomes a cluster of its own.
+"""Recovery after the permanent loss of a quorum: one member's data becomes a new single-member cluster.
 
-Raft cannot continue without a quorum. What this member has may be behind, and its last entries may never
-have been committed: `DataLoss` says how much is uncertain.
+Raft cannot continue without a quorum. This member's data may be outdated, and its last entries may never have
+been committed: `DataLoss` reports how many are uncertain.
 """
 
 from __future__ import annotations
@@ -25,21 +25,23 @@
 from limerudder.store.snapshots import SnapshotError
 from limerudder.store.state_machine import KeyValueState
 
-UNKNOWN_ADDRESS = "127.0.0.1:1"  #: of a member that its own configuration lacks
+UNKNOWN_ADDRESS = "127.0.0.1:1"  #: Address of the member if the configuration does not contain it
 
 
 class DataLoss(msgspec.Struct, frozen=True):
-    """What a member has, and what a recovery from it may lose."""
+    """The extent of a member's data, and what a recovery from it may lose."""
 
     name: str
-    last_index: int = msgspec.field(name="last")  # of the log here
+    last_index: int = msgspec.field(name="last")  # last index of this member's log
     snapshot_index: int = msgspec.field(name="snapshot")
-    uncertain_entries: int = msgspec.field(name="unknown")  # may not be committed; they are kept all the same
-    other_members: tuple[str, ...] = msgspec.field(name="others")  # these may have had more
+    uncertain_entries: int = msgspec.field(name="unknown")  # possibly uncommitted; kept by a recovery
+    other_members: tuple[str, ...] = msgspec.field(
+        name="others"
+    )  # names of members that may have had more data
 
 
 def recover_single_member(directory: str, confirmed: bool) -> DataLoss:
-    """Make this member a new cluster of its own, with everything that it has.
+    """Make this member a new single-member cluster with all its data.
 
     Changes nothing unless `confirmed`. Raises DiskError.
     """
@@ -76,7 +78,7 @@
             self.config = msgspec.msgpack.decode(entry.data, type=ClusterConfig)
 
     def data_loss(self, identity: MemberIdentity) -> DataLoss:
-        """Return what may be lost if this member is recovered."""
+        """Return the possible data loss of a recovery from this member."""
         return DataLoss(
             name=identity.name,
             last_index=self.state.applied_index,
--- a/limerudder/store/sqlite_reader.py
+++ b/limerudder/store/sqlite_reader.py
@@ -28,11 +28,11 @@
 
 
 class SqliteReader:
-    """Reads one database; methods raise DiskCorruptedError or sqlite3.Error if data cannot be used."""
+    """Reads one database; methods raise DiskCorruptedError or sqlite3.Error on unusable data."""
 
     def __init__(self, connection: sqlite3.Connection, path: str) -> None:
         self._connection = connection
-        self._path = path  # for error messages
+        self._path = path  # path in error messages
 
     def require_meta(self, name: MetaName, value_type: Any) -> Any:
         """Return the decoded value of a row of `meta` that must exist."""
@@ -49,11 +49,11 @@
             return None
         data, checksum = row
         if row_checksum(name.value, data) != checksum:
-            raise DiskCorruptedError(f"{self._path}: meta {name.value}: its checksum does not match")
+            raise DiskCorruptedError(f"{self._path}: meta {name.value}: checksum does not match")
         return _decode(data, value_type, f"{self._path}: meta {name.value}")
 
     def durable_state(self) -> DurableState:
-        """Return everything that a member starts with."""
+        """Return the durable state that a member starts with."""
         entries = self._log_entries()
         snapshot = self._snapshot()
         self._check_log_meets_snapshot(entries, snapshot)
@@ -66,11 +66,11 @@
         return DurableState(raft_state, facts, known_values)
 
     def durability_proofs(self) -> dict[int, DurabilityProof]:
-        """Return what other members have shown of their disks, by member."""
+        """Return the other members' durability proofs by member id."""
         query = "SELECT number, data, crc FROM shown"
         return {
-            member_id: _decode(data, DurabilityProof, f"what member {member_id:016x} has shown")
-            for member_id, data in self._rows(query, "what a member has shown,")
+            member_id: _decode(data, DurabilityProof, f"durability proof of member {member_id:016x}")
+            for member_id, data in self._rows(query, "durability proof of member")
         }
 
     def _log_entries(self) -> list[Entry]:
@@ -90,7 +90,9 @@
             return None
         chunks = self._chunks(ChunkTable.SNAPSHOT)
         if len(chunks) != meta.chunk_count or snapshot_digest(chunks) != meta.digest:
-            raise DiskCorruptedError(f"{self._path}: the snapshot of entry {meta.index} is not whole")
+            raise DiskCorruptedError(
+                f"{self._path}: the snapshot at entry {meta.index} is incomplete or corrupted"
+            )
         return Snapshot(meta, chunks)
 
     def _check_log_meets_snapshot(self, entries: list[Entry], snapshot: Snapshot | None) -> None:
@@ -101,7 +103,7 @@
         if first_index > snapshot_index + 1:
             raise DiskCorruptedError(
                 f"{self._path}: the log begins at entry {first_index},"
-                f" after a snapshot of entry {snapshot_index}"
+                f" but the snapshot ends at entry {snapshot_index}"
             )
 
     def _incoming_snapshot(self) -> IncomingSnapshot | None:
@@ -112,7 +114,7 @@
 
     def _chunks(self, table: ChunkTable) -> tuple[bytes, ...]:
         query = f"SELECT number, data, crc FROM {table.value} ORDER BY number"
-        return tuple(data for _, data in self._rows(query, f"{table.value} piece"))
+        return tuple(data for _, data in self._rows(query, f"{table.value} chunk"))
 
     def _drain_facts(self) -> dict[int, DrainFact]:
         facts: dict[int, DrainFact] = {}
@@ -120,22 +122,20 @@
             try:
                 facts[number] = decode_fact(data)
             except msgspec.DecodeError as error:
-                raise DiskCorruptedError(f"{self._path}: fact {number} cannot be read: {error}") from error
+                raise DiskCorruptedError(f"{self._path}: fact {number} cannot be decoded: {error}") from error
         return facts
 
     def _known_values(self) -> dict[str, KnownValue]:
         known_values: dict[str, KnownValue] = {}
-        for key, data in self._rows("SELECT name, value, crc FROM known", "known record"):
-            known_values[key] = _decode(data, KnownValue, f"known record {key}")
+        for key, data in self._rows("SELECT name, value, crc FROM known", "known value"):
+            known_values[key] = _decode(data, KnownValue, f"known value {key}")
         return known_values
 
     def _rows(self, query: str, description: str) -> Iterator[tuple[Any, ...]]:
         """Yield the rows of a query without their checksum, which is the last column."""
         for *values, checksum in self._connection.execute(query):
             if row_checksum(*values) != checksum:
-                raise DiskCorruptedError(
-                    f"{self._path}: {description} {values[0]}: its checksum does not match"
-                )
+                raise DiskCorruptedError(f"{self._path}: {description} {values[0]}: checksum does not match")
             yield tuple(values)
 
 
@@ -143,4 +143,4 @@
     try:
         return msgspec.msgpack.decode(data, type=value_type)
     except msgspec.DecodeError as error:
-        raise DiskCorruptedError(f"{description} cannot be read: {error}") from error
+        raise DiskCorruptedError(f"{description} cannot be decoded: {error}") from error
--- a/limerudder/store/sqlite_schema.py
+++ b/limerudder/store/sqlite_schema.py
@@ -1,6 +1,6 @@
 """The SQLite database of a data directory: its tables, row checksums, connections and transactions.
 
-The tables, and the order of the values that a row's checksum covers, are a stored format.
+The tables, and the order of the values that a row's checksum covers, are part of the stored format.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from enum import Enum
 from zlib import crc32
 
-FORMAT_VERSION = 2  #: of the database; version 1 lacked the table `shown`
-CHECKPOINT_PAGES = 500  #: of the write-ahead log, before they are copied into the database
+FORMAT_VERSION = 2  #: Format of the database; version 1 did not have the table `shown`
+CHECKPOINT_PAGES = 500  #: Size of the write-ahead log in pages at which SQLite starts a checkpoint
 
 TABLES = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value BLOB NOT NULL, crc INTEGER NOT NULL) WITHOUT ROWID;
@@ -39,16 +39,16 @@
 
 
 class ChunkTable(Enum):
-    """Names of the tables that hold the chunks of a snapshot."""
+    """Names of the tables for the chunks of a snapshot."""
 
     SNAPSHOT = "snapshot"
     INCOMING_SNAPSHOT = "incoming"
 
 
 def connect(path: str) -> sqlite3.Connection:
-    """Open the database, or create an empty one, for this process alone; commits are synced.
+    """Open the database exclusively, or create an empty one; commits are synced.
 
-    The connection may be used by any thread, by one at a time. Raises sqlite3.Error.
+    Any thread can use the connection, but only one at a time. Raises sqlite3.Error.
     """
     connection = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
     connection.execute("PRAGMA locking_mode=EXCLUSIVE")
@@ -59,20 +59,20 @@
 
 
 def create_tables(connection: sqlite3.Connection) -> None:
-    """Create all tables of the current format; within a transaction."""
+    """Create all tables of the current format; the caller has begun a transaction."""
     for statement in TABLES.split(";")[:-1]:
         connection.execute(statement)
     connection.execute(PROOFS_TABLE)
 
 
 def row_checksum(*values: object) -> int:
-    """Return the CRC-32 that a row stores of its other values."""
+    """Return the CRC-32 of a row's other values."""
     return crc32(repr(values).encode())
 
 
 @contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """Commit on leaving the context, synced to the disk; roll back on an exception."""
+    """Commit and sync on leaving the context; roll back on an exception."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
--- a/limerudder/store/sqlite_writer.py
+++ b/limerudder/store/sqlite_writer.py
@@ -1,4 +1,4 @@
-"""Writes the rows of a data directory's database, each with its checksum."""
+"""Writes the rows of a data directory's database with their checksums."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from limerudder.store.raft.persistence import HardState, RaftWrite
 from limerudder.store.sqlite_schema import MetaName, row_checksum
 
-#: above the index of every log entry
+#: Upper bound of the index of log entries
 MAX_LOG_INDEX = 1 << 62
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class SqliteWriter:
-    """Writes one database. All methods run within a transaction of the caller and raise sqlite3.Error."""
+    """Writes one database. The caller begins the transactions; methods raise sqlite3.Error."""
 
     def __init__(self, connection: sqlite3.Connection) -> None:
         self._connection = connection
@@ -34,7 +34,7 @@
         self._connection.execute("INSERT OR REPLACE INTO meta VALUES (?,?,?)", row)
 
     def put_hard_state(self, hard_state: HardState) -> None:
-        """Set the current term and the vote in it."""
+        """Set the current term and vote."""
         self.put_meta(MetaName.HARD_STATE, tuple(hard_state))
 
     def put_snapshot(self, snapshot: Snapshot) -> None:
@@ -45,13 +45,13 @@
         self.put_meta(MetaName.SNAPSHOT, snapshot.meta)
 
     def clear_for_new_cluster(self) -> None:
-        """Delete the log, an incoming snapshot and the proofs of other members."""
+        """Delete the log, any incoming snapshot and the durability proofs of other members."""
         for table in ("log", "incoming", "shown"):
             self._connection.execute(f"DELETE FROM {table}")
         self._delete_incoming_meta()
 
     def write_job(self, job: DurabilityJob) -> Snapshot | None:
-        """Write a job's changes; return the snapshot that was built for it, if any."""
+        """Write a job's changes; return the snapshot built for it, if any."""
         if job.raft_write:
             self._write_raft(job.raft_write)
         snapshot = self._write_snapshot_job(job.snapshot) if job.snapshot else None
--- a/limerudder/store/wal_check.py
+++ b/limerudder/store/wal_check.py
@@ -1,9 +1,9 @@
 """Detects damage in the middle of SQLite's write-ahead log.
 
-SQLite ends its recovery at the first frame whose checksum does not match. It takes everything after that
-frame for the torn tail of a crash, and would silently drop committed transactions if the frame was damaged
-later. Since each transaction is synced before the next one begins, a crash can tear the last transaction
-only. The format is described in section 4 of https://www.sqlite.org/fileformat2.html.
+SQLite stops its recovery at the first frame with a wrong checksum. It treats everything from that frame on as
+the torn tail of a crash, and silently drops committed transactions if the frame was damaged after its sync.
+Since each transaction is synced before the next one begins, a crash can tear only the last transaction.
+The format is described in section 4 of https://www.sqlite.org/fileformat2.html.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 WAL_HEADER = struct.Struct(">8I")
 FRAME_HEADER = struct.Struct(">6I")
-MAGIC_NUMBERS = (0x377F0682, 0x377F0683)  #: the last bit is set if checksums are over big-endian words
+MAGIC_NUMBERS = (0x377F0682, 0x377F0683)  #: The lowest bit is set if checksums use big-endian words
 MIN_PAGE_BYTES = 512
 MAX_PAGE_BYTES = 65536
-CHECKSUMMED_HEADER_BYTES = 24  #: of the log's header
-CHECKSUMMED_FRAME_HEADER_BYTES = 8  #: of each frame's header; the whole page follows
-MAX_TORN_TRANSACTIONS = 1  #: that a crash can leave behind
+CHECKSUMMED_HEADER_BYTES = 24  #: Checksummed part of the log's header
+CHECKSUMMED_FRAME_HEADER_BYTES = 8  #: Checksummed part of a frame's header; its page is included too
+MAX_TORN_TRANSACTIONS = 1  #: Maximum number of torn transactions after a crash
 WORD_MASK = 0xFFFFFFFF
 
 Checksum = tuple[int, int]
 
 
 class WalHeader(NamedTuple):
-    """The parts of the write-ahead log's header that its frames are checked against."""
+    """The fields of the write-ahead log's header that are needed to verify its frames."""
 
     page_bytes: int
     salts: tuple[int, int]
-    byte_order: str  # of the words that checksums are computed over, as `struct` writes it
+    byte_order: str  # byte order of the checksummed words, as a `struct` format character
     checksum: Checksum
 
 
 def check_write_ahead_log(path: str) -> None:
     """Raise DiskCorruptedError if a damaged frame is followed by complete transactions.
 
-    A missing file, or a header that SQLite ignores as well, is no damage.
+    A missing file, or a header that SQLite ignores as well, does not count as damage.
     """
     try:
         with open(path, "rb") as file:
@@ -71,7 +71,7 @@
     for start in range(WAL_HEADER.size, len(data) - frame_bytes + 1, frame_bytes):
         _, database_pages, salt_1, salt_2, sum_1, sum_2 = FRAME_HEADER.unpack_from(data, start)
         if (salt_1, salt_2) != header.salts:
-            break  # left over from before the log was restarted
+            break  # left over from before the last restart of the log
         if damaged_frame is None:
             checksum = _add_frame_to_checksum(checksum, data[start : start + frame_bytes], header.byte_order)
             if checksum != (sum_1, sum_2):
@@ -80,7 +80,7 @@
             transactions_after_damage += 1
     if damaged_frame is not None and transactions_after_damage > MAX_TORN_TRANSACTIONS:
         raise DiskCorruptedError(
-            f"{path}: frame {damaged_frame}: its checksum does not match,"
+            f"{path}: frame {damaged_frame}: checksum does not match,"
             f" and {transactions_after_damage} transactions end at or after it"
         )
 
--- a/tests/test_store_data_directory.py
+++ b/tests/test_store_data_directory.py
@@ -1,4 +1,4 @@
-"""Creating data directories: from a backup, a join token, or what is left of a cluster."""
+"""Creating data directories from a backup, a join token, or one member of a cluster that lost its quorum."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 def state_with_keys(count: int) -> KeyValueState:
-    records = KeyValueState()
-    records.apply(1, encode_command(OpenSession()))
+    state = KeyValueState()
+    state.apply(1, encode_command(OpenSession()))
     for n in range(count):
-        records.apply(
+        state.apply(
             n + 2, encode_command(SessionWrite(1, n + 1, n, Transaction((), (Put(f"kv/{n}", b"v%d" % n),))))
         )
-    return records
+    return state
 
 
 def test_a_backup_is_restored_as_another_cluster_and_a_damaged_one_rejected(tmp_path: Path) -> None:
@@ -54,10 +54,10 @@
     clusters = set()
     for path in directories:
         member_disk = Disk(path)
-        opened = member_disk.load()
+        contents = member_disk.load()
         member_disk.close()
-        clusters.add(opened.identity.cluster_id)
-        member = Member(opened.identity.member_id, opened.durable_state, Random(1), 0)
+        clusters.add(contents.identity.cluster_id)
+        member = Member(contents.identity.member_id, contents.durable_state, Random(1), 0)
         assert member.state.items == state_with_keys(30).items and len(member.config.members) == 2
     assert len(clusters) == 1 and clusters != {9}
     intact = (tmp_path / "b").read_bytes()
@@ -89,14 +89,14 @@
     loss = recover_single_member(paths[0], confirmed=False)
     assert (loss.last_index, loss.uncertain_entries, loss.other_members) == (3, 3, ("n1", "n2"))
     member_disk = Disk(paths[0])
-    assert member_disk.load().identity == before.identity, "nothing was done"
+    assert member_disk.load().identity == before.identity, "unconfirmed recovery changes nothing"
     member_disk.close()
     recover_single_member(paths[0], confirmed=True)
     member_disk = Disk(paths[0])
-    opened = member_disk.load()
+    contents = member_disk.load()
     member_disk.close()
-    assert opened.identity.cluster_id != before.identity.cluster_id
-    member = Member(opened.identity.member_id, opened.durable_state, Random(1), 0, MemberLimits())
+    assert contents.identity.cluster_id != before.identity.cluster_id
+    member = Member(contents.identity.member_id, contents.durable_state, Random(1), 0, MemberLimits())
     assert [m.name for m in member.config.members] == ["n0"] and member.raft.term == 3
     assert {key: item.value for key, item in member.state.items.items()} == {"kv/a": b"1", "kv/b": b"2"}
 
@@ -105,13 +105,13 @@
     new = MemberEntry(77, "n4", "127.0.0.1:9", MemberRole.JOINING)
     assert join_cluster(str(tmp_path / "n4"), encode_join_token(9, new)) == new
     member_disk = Disk(str(tmp_path / "n4"))
-    opened = member_disk.load()
+    contents = member_disk.load()
     member_disk.close()
     assert (
-        opened.identity == MemberIdentity(9, 77, "n4")
-        and opened.durable_state.raft_state.initial_config.members == ()
+        contents.identity == MemberIdentity(9, 77, "n4")
+        and contents.durable_state.raft_state.initial_config.members == ()
     )
-    with pytest.raises(DiskError, match="no ticket"):
+    with pytest.raises(DiskError, match="invalid ticket"):
         join_cluster(str(tmp_path / "n5"), "nonsense")
-    with pytest.raises(DiskError, match="a name and an address of its own"):
+    with pytest.raises(DiskError, match="names and addresses of members must be unique"):
         init_cluster(str(tmp_path / "x"), [("a", "127.0.0.1:1"), ("a", "127.0.0.1:2")])
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -1,4 +1,4 @@
-"""The data directory: what was persisted is there, and what is corrupted is detected."""
+"""The data directory: persisted data is restored, and corrupted data is detected."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
     first = create_disk(tmp_path)
     with pytest.raises(DiskError, match="in use by another process"):
         Disk(str(tmp_path / "s"))
-    opened = first.load()
-    assert opened.identity == IDENTITY and opened.incarnation.number == 1
+    contents = first.load()
+    assert contents.identity == IDENTITY and contents.incarnation.number == 1
     first.close()
-    with pytest.raises(DiskError, match="holds a member already"):
+    with pytest.raises(DiskError, match="already contains a member"):
         create_disk(tmp_path)
-    with pytest.raises(DiskError, match="holds no member; `limerudder state init`"):
+    with pytest.raises(DiskError, match="contains no member; create one with `limerudder state init`"):
         os.mkdir(tmp_path / "empty")
         Disk(str(tmp_path / "empty"))
     with pytest.raises(DiskError, match="No such file"):
         Disk(str(tmp_path / "none"))
     second = Disk(str(tmp_path / "s"))
-    assert second.load().incarnation.number == 2, "each start is counted"
+    assert second.load().incarnation.number == 2, "each start increments the incarnation"
     second.close()
 
 
 class RandomJobs:
-    """Draws durability jobs of all kinds that are valid one after the other."""
+    """Draws sequences of valid durability jobs of all kinds."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -119,9 +119,9 @@
 
 
 def assert_same_state(disk: Disk, model: MemoryDisk) -> None:
-    """The data directory holds what the model does."""
-    opened = disk.load()
-    durable = opened.durable_state
+    """Assert that the data directory has the same contents as the model."""
+    contents = disk.load()
+    durable = contents.durable_state
     expected = model.load()
     assert durable.raft_state.hard_state == expected.raft_state.hard_state
     assert list(durable.raft_state.entries) == list(expected.raft_state.entries)
@@ -129,7 +129,7 @@
     assert durable.raft_state.incoming_snapshot == expected.raft_state.incoming_snapshot
     assert durable.drain_facts == expected.drain_facts
     assert durable.known_values == expected.known_values
-    assert opened.durability_proofs == model.proofs
+    assert contents.durability_proofs == model.proofs
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
@@ -154,7 +154,7 @@
     disk.close()
 
 
-def test_a_transaction_that_fails_leaves_nothing(tmp_path: Path) -> None:
+def test_a_failed_transaction_changes_nothing(tmp_path: Path) -> None:
     member_disk = create_disk(tmp_path)
     member_disk.load()
     member_disk.persist([write_job(1, entries=entries(1, 3))])
@@ -166,7 +166,7 @@
 
 
 def killed_directory(folder: Path, rounds: int = 30) -> Path:
-    """A member's folder as a kill leaves it: with a write-ahead log of so many transactions."""
+    """A copy of a running member's directory, as after a kill, with `rounds` transactions in the WAL."""
     member_disk = create_disk(folder)
     member_disk.load()
     for n in range(1, rounds + 1):
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 700, 4119, 4120])
-def test_a_torn_tail_is_cut_and_the_rest_is_there(tmp_path: Path, cut: int) -> None:
+def test_a_torn_tail_is_discarded_and_the_rest_is_kept(tmp_path: Path, cut: int) -> None:
     killed = killed_directory(tmp_path)
     wal = killed / (DATABASE_FILE + "-wal")
     os.truncate(wal, wal.stat().st_size - cut)
@@ -187,14 +187,14 @@
     assert found == list(range(1, len(found) + 1)) and 28 <= len(found) <= 29
 
 
-def test_damage_within_the_write_ahead_log_is_no_torn_tail(tmp_path: Path) -> None:
+def test_damage_within_the_write_ahead_log_is_not_treated_as_a_torn_tail(tmp_path: Path) -> None:
     killed = killed_directory(tmp_path)
     wal = killed / (DATABASE_FILE + "-wal")
     data = bytearray(wal.read_bytes())
     data[len(data) // 2] ^= 4
     wal.write_bytes(data)
     with pytest.raises(
-        DiskError, match=r"store.sqlite-wal: frame \d+: its checksum does not match, and \d+ trans"
+        DiskError, match=r"store.sqlite-wal: frame \d+: checksum does not match, and \d+ trans"
     ):
         Disk(str(killed))
 
@@ -216,7 +216,7 @@
         damaged[intact.rindex(content)] ^= 1
         path.write_bytes(damaged)
         reopened_disk = Disk(str(tmp_path / "s"))
-        with pytest.raises(DiskError, match=f"{row_name}: its checksum does not match"):
+        with pytest.raises(DiskError, match=f"{row_name}: checksum does not match"):
             reopened_disk.load()
         reopened_disk.close()
     path.write_bytes(intact[: len(intact) // 2])
@@ -232,12 +232,12 @@
     member_disk = create_disk(tmp_path)
     member_disk.load()
     member_disk.persist([write_job(1, entries=entries(1, 2))])
-    member_disk.connection.execute("DROP TABLE shown")  # as format 1 was
+    member_disk.connection.execute("DROP TABLE shown")  # format 1 did not have it
     SqliteWriter(member_disk.connection).put_meta(MetaName.FORMAT, 1)
     member_disk.close()
     reopened_disk = Disk(str(tmp_path / "s"))
-    opened = reopened_disk.load()
-    assert opened.durability_proofs == {} and len(opened.durable_state.raft_state.entries) == 2
+    contents = reopened_disk.load()
+    assert contents.durability_proofs == {} and len(contents.durable_state.raft_state.entries) == 2
     reopened_disk.persist([DurabilityJob(1, proofs={3: DurabilityProof(Incarnation(1, 1))})])
     SqliteWriter(reopened_disk.connection).put_meta(MetaName.FORMAT, 99)
     reopened_disk.close()
