--- a/limerudder/store/drain_log.py
+++ b/limerudder/store/drain_log.py
@@ -1,15 +1,15 @@
-"""Hosts that must not receive new connections: observed by this node, or agreed on by the cluster.
+"""Hosts that must not receive new connections, as observed by this node or agreed on by the cluster.
 
 A fact is made durable at this member as soon as it is observed, with or without a quorum, and is written to
-the replicated state once that is possible. A host is excluded if either the member's own facts or the agreed
-record say so. Only two things end a drain:
+the replicated state as soon as possible. A host is excluded if the member's own facts or the agreed record
+exclude it. A drain ends only with:
 
-- a newer start of the host than the one that was drained: a drain is recorded with the host's start time and
-  covers that start and all earlier ones. A list that shows the same start as active again changes nothing;
-- an operator's `maint-off`, for what was in force when it was called. What others recorded in the meantime
-  stays: of two conflicting facts the one that excludes the host wins.
+- a newer start of the host than the drained one: a drain is recorded with the host's start time and covers
+  that start and all earlier ones. An endpoint list that shows the same start as active again has no effect;
+- an operator's `maint-off`, which ends the drains and holds recorded before the call. Those that others
+  record concurrently remain: of two conflicting facts, the one that excludes the host takes precedence.
 
-No I/O, no clock.
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 from limerudder.store.commands import Compare, CompareTarget, Put, Transaction
 
-HOST_KEY_PREFIX = "hosts/"  #: a host's agreed record stands under this prefix and the host's name
-NEVER_DRAINED = -1  #: no start of the host has been drained
+HOST_KEY_PREFIX = "hosts/"  #: The key of a host's agreed record is this prefix and the host's name
+NEVER_DRAINED = -1  #: Value of `drained` if no start of the host has been drained
 
 
 class HostRecord(msgspec.Struct, frozen=True, omit_defaults=True):
     """The agreed record of a host, stored as JSON: the field names are part of the stored format."""
 
-    drained: int = NEVER_DRAINED  # starts up to this time (ms since 1970) get no new connections
-    held: bool = False  # an operator holds the host out
-    by: str = ""  # the node at which the hold was placed
-    back_at: int = 0  # when an operator last returned the host to service, in microseconds
+    drained: int = NEVER_DRAINED  # processes started up to this time (ms since 1970) get no new connections
+    held: bool = False  # an operator's maintenance hold is active
+    by: str = ""  # name of the node at which the hold was placed
+    back_at: int = 0  # time of an operator's last return of the host to service, in microseconds
 
     def excludes(self, started_ms: int) -> bool:
         """Whether a process of the host that started at this time gets no new connections."""
@@ -46,14 +46,14 @@
 
 
 class MaintenanceHold(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
-    """An operator holds a host out, at the node `held_by`."""
+    """An operator has placed a maintenance hold on a host, at the node `held_by`."""
 
     host: str
     held_by: str
 
 
 class ReturnToService(msgspec.Struct, frozen=True, array_like=True, tag="back"):
-    """An operator returns a host to service, having seen its record as of `basis_revision`."""
+    """An operator has returned a host to service, based on its record as of `basis_revision`."""
 
     host: str
     returned_at_us: int
@@ -69,7 +69,7 @@
 
 
 def encode_fact(fact: DrainFact) -> bytes:
-    """Encodes a fact as the disk keeps it."""
+    """Encodes a fact for the disk."""
     return _encode_msgpack(fact)
 
 
@@ -79,7 +79,7 @@
 
 
 def encode_host_record(record: HostRecord) -> bytes:
-    """Encodes a record as the value of its key."""
+    """Encodes a record to the value of its key."""
     return _encode_json(record)
 
 
@@ -89,7 +89,7 @@
 
 
 def apply_fact(record: HostRecord, modified_revision: int, fact: DrainFact) -> HostRecord:
-    """Returns a host's record, last modified at this revision, with a fact applied to it."""
+    """Returns the record with a fact applied; `modified_revision` is that of the given record."""
     match fact:
         case DrainObserved(_, started_ms):
             return HostRecord(max(record.drained, started_ms), record.held, record.by, record.back_at)
@@ -98,7 +98,7 @@
             return HostRecord(record.drained, True, holder, record.back_at)
         case ReturnToService(_, returned_at_us, basis_revision):
             if modified_revision > basis_revision:
-                # others have recorded something since the operator looked, which must stay in force
+                # drains and holds recorded after the operator's view of the record must remain active
                 return record
             return HostRecord(NEVER_DRAINED, False, "", max(record.back_at, returned_at_us))
     raise AssertionError("every type of fact is handled above")
@@ -122,32 +122,32 @@
 
 
 class DrainLogChanges(NamedTuple):
-    """Changes of the pending facts that have to be made durable."""
+    """Changes of the pending facts that are to be made durable."""
 
     added: tuple[NumberedFact, ...]
     deleted: tuple[int, ...]  # numbers of facts
 
 
 class DrainLog:
-    """The facts that are not in the replicated state yet, and the agreed records as last known here."""
+    """Facts that are not in the replicated state yet, and the last agreed records received by this member."""
 
     def __init__(self, agreed: Mapping[str, AgreedRecord], facts: Mapping[int, DrainFact]) -> None:
-        self.pending_facts = dict(sorted(facts.items()))  # by number, in the order of observation
+        self.pending_facts = dict(sorted(facts.items()))  # fact number -> fact, in the order of observation
         self.host_changed: Callable[[str], None] = lambda host: None
-        self._unsaved_facts: list[NumberedFact] = []  # to be made durable
+        self._unsaved_facts: list[NumberedFact] = []  # facts to be made durable
         self._unsaved_deletions: list[int] = []  # numbers of facts to be deleted from the disk
-        self._agreed = dict(agreed)  # by host
+        self._agreed = dict(agreed)  # host -> record
         self._next_number = max(facts, default=0) + 1
-        self._effective: dict[str, HostRecord] = {}  # cache of `effective_record`, by host
-        self._writing: dict[str, tuple[int, ...]] = {}  # numbers of the facts being written, by host
+        self._effective_records: dict[str, HostRecord] = {}  # cache of `effective_record`: host -> record
+        self._facts_being_written: dict[str, tuple[int, ...]] = {}  # host -> numbers of its facts
 
     def effective_record(self, host: str) -> HostRecord:
-        """Returns what is in force for a host at this member: its agreed record with all pending facts."""
-        record = self._effective.get(host)
+        """Returns the record that this member applies: the host's agreed record with all pending facts."""
+        record = self._effective_records.get(host)
         if record is None:
             modified_revision, agreed = self._agreed.get(host, NO_AGREED_RECORD)
             record = self._with_facts(agreed, modified_revision, self._fact_numbers(host))
-            self._effective[host] = record
+            self._effective_records[host] = record
         return record
 
     def hosts(self) -> set[str]:
@@ -155,7 +155,7 @@
         return self._agreed.keys() | {fact.host for fact in self.pending_facts.values()}
 
     def held_hosts(self) -> set[str]:
-        """Returns the hosts that operators hold out."""
+        """Returns the hosts under a maintenance hold."""
         return {host for host in self.hosts() if self.effective_record(host).held}
 
     def _fact_numbers(self, host: str) -> tuple[int, ...]:
@@ -169,7 +169,7 @@
     def record_drain(self, host: str, started_ms: int) -> int | None:
         """Records that discovery lists a start of a host as draining; returns the new fact's number, or None.
 
-        None means that the drain is in force already.
+        None means that the drain is active already.
         """
         if started_ms <= self.effective_record(host).drained:
             return None
@@ -184,11 +184,11 @@
     def record_return(self, host: str, returned_at_us: int) -> int:
         """Records that an operator returns a host to service; returns the new fact's number.
 
-        Pending facts that are not being written yet are dropped. What is agreed on, or about to be, is undone
-        by the new fact.
+        Pending facts that are not being written yet are deleted. The new fact reverses those that are being
+        written or already agreed on.
         """
         for number in self._fact_numbers(host):
-            if number not in self._writing.get(host, ()):
+            if number not in self._facts_being_written.get(host, ()):
                 self._drop(number)
         basis_revision = self._agreed.get(host, NO_AGREED_RECORD).modified_revision
         return self._add(ReturnToService(host, returned_at_us, basis_revision))
@@ -208,26 +208,26 @@
         self._refresh(fact.host)
 
     def _refresh(self, host: str) -> None:
-        self._effective.pop(host, None)
+        self._effective_records.pop(host, None)
         self.host_changed(host)
 
     def has_unsaved(self) -> bool:
-        """Whether there are changes that are not durable yet, nor taken to be made so."""
+        """Whether there are changes that `take_unsaved` has not returned yet."""
         return bool(self._unsaved_facts or self._unsaved_deletions)
 
     def is_unsaved(self, number: int) -> bool:
-        """Whether the fact of this number is one of these changes."""
+        """Whether `take_unsaved` has not returned the fact of this number yet."""
         return any(unsaved.number == number for unsaved in self._unsaved_facts)
 
     def take_unsaved(self) -> DrainLogChanges:
-        """Returns, once, the changes that have to be made durable."""
+        """Returns the unsaved changes; each change is returned only once."""
         changes = DrainLogChanges(tuple(self._unsaved_facts), tuple(self._unsaved_deletions))
         self._unsaved_facts = []
         self._unsaved_deletions = []
         return changes
 
     def update_agreed(self, host: str, modified_revision: int, value: bytes | None) -> None:
-        """Takes over a host's agreed record from the replicated state; `value` is None if it was removed."""
+        """Applies a host's agreed record from the replicated state; `value` is None if it was removed."""
         known = self._agreed.get(host)
         if known and known.modified_revision >= modified_revision:
             return  # a replicated state that is still catching up must not replace a newer record
@@ -241,8 +241,8 @@
     def prepare_write(self, host: str, modified_revision: int, value: bytes | None) -> Transaction | None:
         """Returns the write that adds a host's facts to its agreed record, and marks them as being written.
 
-        `modified_revision` and `value` are those of the host's key now. Returns None, and drops the facts, if
-        they change nothing.
+        `modified_revision` and `value` are the current ones of the host's key. Deletes the facts and returns
+        None if they change nothing.
         """
         numbers = self._fact_numbers(host)
         record = _record_or_default(value)
@@ -251,14 +251,14 @@
             for number in numbers:
                 self._drop(number)
             return None
-        self._writing[host] = numbers
+        self._facts_being_written[host] = numbers
         key = HOST_KEY_PREFIX + host
         unchanged = Compare(key, CompareTarget.MODIFIED, b"", modified_revision)
         return Transaction((unchanged,), (Put(key, encode_host_record(updated)),))
 
     def finish_write(self, host: str, revision: int | None) -> None:
-        """Ends a write: its facts are agreed on as of this revision, or remain pending if it is None."""
-        numbers = self._writing.pop(host, ())
+        """Ends a write: its facts are agreed on at `revision`, or remain pending if that is None."""
+        numbers = self._facts_being_written.pop(host, ())
         if revision is None:
             return
         for number in numbers:
@@ -268,7 +268,7 @@
         self._refresh(host)
 
     def _rebase_returns(self, host: str, revision: int) -> None:
-        """An operator who returned the host during the write had seen the facts that were being written."""
+        """Rebases returns recorded during the write: the operator had seen the facts being written."""
         for number, fact in list(self.pending_facts.items()):
             if not isinstance(fact, ReturnToService) or fact.host != host:
                 continue
@@ -278,8 +278,8 @@
                 self._unsaved_facts.append(NumberedFact(number, rebased))
 
     def hosts_to_write(self) -> list[str]:
-        """Returns the hosts with pending facts of which none are being written."""
-        return sorted({fact.host for fact in self.pending_facts.values()} - self._writing.keys())
+        """Returns the hosts with pending facts and no write in progress."""
+        return sorted({fact.host for fact in self.pending_facts.values()} - self._facts_being_written.keys())
 
 
 def _record_or_default(value: bytes | None) -> HostRecord:
--- a/limerudder/store/drain_replication.py
+++ b/limerudder/store/drain_replication.py
@@ -1,4 +1,4 @@
-"""Writes the facts of the drain log to the replicated state, in a session of the member's own."""
+"""Writes the facts of the drain log to the replicated state, in a dedicated session."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from limerudder.store.sessions import RequestSequence
 from limerudder.store.state_machine import KeyValueState
 
-RETRY_INTERVAL_US = 500_000  #: between attempts to write the pending facts
+RETRY_INTERVAL_US = 500_000  #: Interval between attempts to write the pending facts
 WRITE_TIMEOUT_US = 20 * RETRY_INTERVAL_US
-NO_SESSION = 0  #: no session has this identifier
+NO_SESSION = 0  #: Reserved identifier that no session has
 
 
 class StateWriter(Protocol):
-    """What `DrainReplicator` needs of the member: writes, and a notice of when their entries are applied."""
+    """Interface of the member that `DrainReplicator` uses."""
 
     def write(self, command: Command, deadline_us: int, callback: ResultCallback, now_us: int) -> None:
-        """Has a command applied and calls back with its result."""
+        """Replicates a command and calls back with its result."""
 
     def when_applied(self, index: int, callback: TimeCallback, now_us: int) -> None:
-        """Calls back once the entry at this index has been applied here."""
+        """Calls back once this member has applied the entry at this index."""
 
 
 class DrainReplicator:
@@ -42,7 +42,7 @@
         self.due_at_us = now_us
 
     def tick(self, now_us: int) -> None:
-        """Writes what is pending if the interval has passed."""
+        """Writes the pending facts if the interval has passed."""
         if now_us >= self.due_at_us:
             self.due_at_us = now_us + RETRY_INTERVAL_US
             self._write_pending(now_us)
@@ -72,7 +72,7 @@
             if isinstance(outcome, CallFailure):
                 self._drain_log.finish_write(host, None)
             elif outcome.error:
-                self._abandon_session(session_id)
+                self._discard_session(session_id)
                 self._drain_log.finish_write(host, None)
             else:
                 self._finish_write_when_applied(host, outcome, now_us)
@@ -81,7 +81,7 @@
         self._member.write(command, now_us + WRITE_TIMEOUT_US, on_result, now_us)
 
     def _finish_write_when_applied(self, host: str, result: CommandResult, now_us: int) -> None:
-        """Drops the facts only once the agreed record here holds them, so that none is missing in between."""
+        """Deletes the facts once the write is applied here, so that they remain effective throughout."""
         revision = result.revision if result.succeeded else None
         self._member.when_applied(
             result.index, lambda _: self._drain_log.finish_write(host, revision), now_us
@@ -101,7 +101,7 @@
 
         self._member.write(OpenSession(), now_us + WRITE_TIMEOUT_US, on_result, now_us)
 
-    def _abandon_session(self, session_id: int) -> None:
-        """The session has ended: the next attempt opens a new one, unless that has happened already."""
+    def _discard_session(self, session_id: int) -> None:
+        """Makes the next attempt open a new session, unless one has been opened already."""
         if session_id == self._session_id:
             self._session_id = NO_SESSION
--- a/limerudder/store/durability.py
+++ b/limerudder/store/durability.py
@@ -1,4 +1,4 @@
-"""Records of what a member keeps on its disk: what it starts from, and the jobs that change it."""
+"""Records of a member's durable state, and of the jobs that change it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class KnownValue(NamedTuple):
-    """The value of a replicated key as last known to this member; `value` is None if the key was removed."""
+    """A member's last known value of a replicated key; `value` is None if the key was removed."""
 
     modified_revision: int
     value: bytes | None
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class SnapshotJob:
-    """A snapshot to be encoded and stored; `build` may run in another thread, since the view is a copy."""
+    """A snapshot to be encoded and stored; `build` can run in another thread, since the view is a copy."""
 
     index: int
     term: int
@@ -46,13 +46,13 @@
     snapshot: SnapshotJob | None = None
     new_facts: tuple[NumberedFact, ...] = ()
     deleted_facts: tuple[int, ...] = ()
-    known_values: Mapping[str, KnownValue] = field(default_factory=dict)  # by key
-    proofs: Mapping[int, DurabilityProof] = field(default_factory=dict)  # by member
+    known_values: Mapping[str, KnownValue] = field(default_factory=dict)  # key -> value
+    proofs: Mapping[int, DurabilityProof] = field(default_factory=dict)  # member id -> proof
 
 
 class DurableState(NamedTuple):
-    """Everything durable that a member starts with."""
+    """The durable state that a member starts with."""
 
     raft_state: PersistentState
-    drain_facts: Mapping[int, DrainFact]  # by number
-    known_values: Mapping[str, KnownValue]  # by key
+    drain_facts: Mapping[int, DrainFact]  # fact number -> fact
+    known_values: Mapping[str, KnownValue]  # key -> value
--- a/limerudder/store/durability_scheduler.py
+++ b/limerudder/store/durability_scheduler.py
@@ -1,4 +1,4 @@
-"""Collects what has to be made durable into jobs, and tells those who wait for a job."""
+"""Collects changes that are to be made durable into jobs, and notifies the callers that wait for them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DurabilityScheduler:
-    """Numbers the jobs, schedules snapshots, and follows which jobs have completed."""
+    """Numbers the jobs, schedules snapshots, and tracks which jobs have completed."""
 
     def __init__(
         self,
@@ -39,18 +39,18 @@
         self._known_values = known_values
         self._limits = limits
         self._last_job_number = 0
-        self._raft_writes: dict[int, int] = {}  # Raft's number of the write, by job
-        self._facts_in_jobs: dict[int, list[int]] = {}  # numbers of facts, by job
+        self._raft_writes: dict[int, int] = {}  # job number -> Raft's number of its write
+        self._facts_in_jobs: dict[int, list[int]] = {}  # job number -> numbers of its facts
         self._fact_waiters: list[_FactWaiter] = []
-        self._unsaved_proofs: dict[int, DurabilityProof] = {}  # by member
+        self._unsaved_proofs: dict[int, DurabilityProof] = {}  # member id -> proof
         self._snapshot_in_progress = False
 
     def record_proofs(self, proofs: Mapping[int, DurabilityProof]) -> None:
-        """Makes what members have proved about their disks part of the next job."""
+        """Adds other members' durability proofs to the next job."""
         self._unsaved_proofs.update(proofs)
 
     def next_job(self, raft_write: RaftWrite | None) -> DurabilityJob | None:
-        """Returns a job with all that is not durable yet, or None if there is nothing."""
+        """Returns a job with all changes since the last one, or None if there are none."""
         snapshot = self._due_snapshot()
         unsaved = self._drain_log.has_unsaved() or self._known_values.has_unsaved() or self._unsaved_proofs
         if not (raft_write or snapshot or unsaved):
@@ -74,7 +74,7 @@
         return job
 
     def on_job_durable(self, job_number: int, snapshot: Snapshot | None, now_us: int) -> None:
-        """Handles the completion of a job; `snapshot` is the one that was built for it, if any."""
+        """Handles the completion of a job; `snapshot` is the one built for it, if any."""
         if snapshot:
             self._snapshot_in_progress = False
             self._raft.compact(snapshot, self._limits.kept_entries)
@@ -84,7 +84,7 @@
         self._notify_fact_waiters(self._facts_in_jobs.pop(job_number, []), now_us)
 
     def when_durable(self, fact_number: int, callback: TimeCallback, now_us: int) -> None:
-        """Calls back once a fact of the drain log is durable here: at once if it is already."""
+        """Calls back once a fact of the drain log is durable, immediately if it is already."""
         in_job = any(fact_number in numbers for numbers in self._facts_in_jobs.values())
         if in_job or self._drain_log.is_unsaved(fact_number):
             self._fact_waiters.append(_FactWaiter(fact_number, callback))
@@ -114,7 +114,7 @@
         return self._raft.log.size_bytes >= self._limits.snapshot_after_bytes and entries_since > 0
 
     def capture_snapshot(self) -> SnapshotJob:
-        """Returns the replicated state as it is now, to be encoded and stored elsewhere."""
+        """Returns a job to encode and store the current replicated state."""
         log = self._raft.log
         applied_index = self._state.applied_index
         term = log.term_at(applied_index)
--- a/limerudder/store/known_values.py
+++ b/limerudder/store/known_values.py
@@ -1,7 +1,7 @@
-"""The replicated keys that the node needs when it starts, kept durably as last known to this member.
+"""Durable copies of the replicated keys that the node needs at startup.
 
-A restarted member has no leader and no quorum yet, and its replicated state may be far behind the cluster's.
-The node starts with the values kept here.
+A restarted member has no leader or quorum yet, and its replicated state may lag far behind the cluster's.
+The node therefore starts with the last values that this member received.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from limerudder.store.durability import KnownValue
 from limerudder.store.state_machine import KeyValueState
 
-KEPT_PREFIXES = (HOST_KEY_PREFIX, "config/", "list/")  #: of the keys that are kept
+COPIED_PREFIXES = (HOST_KEY_PREFIX, "config/", "list/")  #: Prefixes of the keys that are copied
 UNKNOWN_VALUE = KnownValue(0, None)
 
 
 class KnownValues:
-    """Follows the kept keys of the replicated state, and passes agreed host records to the drain log."""
+    """Tracks the copied keys of the replicated state, and passes agreed host records to the drain log."""
 
     def __init__(self, known: Mapping[str, KnownValue], state: KeyValueState, drain_log: DrainLog) -> None:
         self._known = dict(known)
@@ -36,16 +36,16 @@
         return known
 
     def refresh(self) -> None:
-        """Takes over all kept keys from the replicated state, after that has been replaced by a snapshot."""
-        for prefix in KEPT_PREFIXES:
+        """Copies all keys from the replicated state, after a snapshot has replaced it."""
+        for prefix in COPIED_PREFIXES:
             for key, item in self._state.list_prefix(prefix):
                 self._update(key, KnownValue(item.modified_revision, item.value))
 
     def refresh_changes(self, since_revision: int) -> None:
-        """Takes over the changes of kept keys after a revision."""
+        """Copies the keys changed after a revision."""
         changes, _ = self._state.changes_since(since_revision)
         for change in changes:
-            if change.key.startswith(KEPT_PREFIXES):
+            if change.key.startswith(COPIED_PREFIXES):
                 value = change.item.value if change.item else None
                 self._update(change.key, KnownValue(change.revision, value))
 
@@ -63,11 +63,11 @@
             self._drain_log.update_agreed(host, value.modified_revision, value.value)
 
     def has_unsaved(self) -> bool:
-        """Whether values have changed that are not durable yet."""
+        """Whether there are changed values that `take_unsaved` has not returned yet."""
         return bool(self._unsaved)
 
     def take_unsaved(self) -> dict[str, KnownValue]:
-        """Returns, once, the values that have to be made durable."""
+        """Returns the unsaved values; each change is returned only once."""
         unsaved = self._unsaved
         self._unsaved = {}
         return unsaved
--- a/tests/test_store_drain_log.py
+++ b/tests/test_store_drain_log.py
@@ -1,4 +1,4 @@
-"""The drain log: observed drains, maintenance holds and returns to service, over the agreed records."""
+"""The drain log: observed drains, maintenance holds, returns to service and agreed records."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
     record = drain_log.effective_record("h")
     assert not record.excludes(100) and record.back_at == 7
     drain_log.record_drain("h", 100)
-    assert drain_log.effective_record("h").excludes(100), "observed again, the drain is in force again"
+    assert drain_log.effective_record("h").excludes(100), "the drain is active once observed again"
 
 
-def test_a_return_undoes_what_the_operator_saw_and_not_what_others_recorded_since() -> None:
+def test_a_return_ends_the_holds_seen_by_the_operator_but_not_later_ones() -> None:
     drain_log = DrainLog({}, {})
     drain_log.update_agreed("h", 5, _held_by("n1"))
     drain_log.record_return("h", 9)
     assert not drain_log.effective_record("h").held
     transaction = drain_log.prepare_write("h", 8, _held_by("n2"))
-    assert transaction is None and drain_log.pending_facts == {}, "the hold of revision 8 stays"
+    assert transaction is None and drain_log.pending_facts == {}, "the hold of revision 8 remains"
     drain_log.update_agreed("h", 8, _held_by("n2"))
     assert drain_log.effective_record("h").held
     drain_log.record_return("h", 10)
@@ -68,14 +68,14 @@
     assert drain_log.prepare_write("h", 4, _held_by("n0")), "the return is written after the hold"
 
 
-def test_agreed_records_never_go_back_and_malformed_values_change_nothing() -> None:
+def test_outdated_agreed_records_and_malformed_values_are_ignored() -> None:
     drain_log = DrainLog({}, {})
     drain_log.update_agreed("h", 5, encode_host_record(HostRecord(drained=9)))
     drain_log.update_agreed("h", 4, encode_host_record(HostRecord()))
     drain_log.update_agreed("h", 6, b"nonsense")
     assert drain_log.effective_record("h").excludes(9)
     drain_log.update_agreed("h", 7, None)
-    assert not drain_log.effective_record("h").excludes(9), "a removed record is forgotten"
+    assert not drain_log.effective_record("h").excludes(9), "the drain ends with the removal of its record"
 
 
 @given(
