--- a/limerudder/store/framing.py
+++ b/limerudder/store/framing.py
@@ -1,16 +1,16 @@
-"""Frames of a byte stream: a length, a CRC-32 and that many bytes."""
+"""Frames of a byte stream: the length of the payload, its CRC-32 and the payload."""
 
 from __future__ import annotations
 
 import struct
 from zlib import crc32
 
-MAX_FRAME_BYTES = 1 << 20  #: of the payload; a longer frame is rejected
-FRAME_HEADER = struct.Struct("!II")  #: length and checksum of the payload
+MAX_FRAME_BYTES = 1 << 20  #: Maximum payload size of a frame; longer frames are rejected
+FRAME_HEADER = struct.Struct("!II")  #: Length and checksum of the payload
 
 
 class FrameError(Exception):
-    """Bytes that are no frames: nothing after them can be decoded."""
+    """The stream contains an invalid frame, after which nothing can be decoded."""
 
 
 def encode_frame(payload: bytes) -> bytes:
@@ -23,11 +23,11 @@
     """Splits a stream, received in pieces of any size, into payloads."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        self.max_frame_bytes = max_frame_bytes  # may be changed between calls
+        self.max_frame_bytes = max_frame_bytes  # can be changed between calls
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the payloads that are complete now.
+        """Add received bytes and return the payloads that are complete.
 
         Raises FrameError on a length over the limit or a wrong checksum.
         """
@@ -38,14 +38,14 @@
         while len(buffer) - start >= FRAME_HEADER.size:
             length, checksum = FRAME_HEADER.unpack_from(buffer, start)
             if length > self.max_frame_bytes:
-                raise FrameError(f"a frame of {length} bytes; at most {self.max_frame_bytes} are taken")
+                raise FrameError(f"frame of {length} bytes exceeds the limit of {self.max_frame_bytes} bytes")
             payload_start = start + FRAME_HEADER.size
             payload_end = payload_start + length
             if len(buffer) < payload_end:
                 break
             payload = bytes(buffer[payload_start:payload_end])
             if crc32(payload) != checksum:
-                raise FrameError("a frame whose checksum does not match")
+                raise FrameError("frame checksum does not match")
             payloads.append(payload)
             start = payload_end
         del buffer[:start]
--- a/tests/test_store_messages.py
+++ b/tests/test_store_messages.py
@@ -49,7 +49,7 @@
 
 
 def test_excessive_lengths_and_flipped_bits_are_rejected() -> None:
-    with pytest.raises(FrameError, match=f"at most {MAX_FRAME_BYTES} are taken"):
+    with pytest.raises(FrameError, match=f"exceeds the limit of {MAX_FRAME_BYTES} bytes"):
         FrameDecoder().feed((MAX_FRAME_BYTES + 1).to_bytes(4, "big") + bytes(4))
     corrupted = bytearray(encode_frame(b"hello"))
     corrupted[-1] ^= 1
