--- a/limerudder/store/commands.py
+++ b/limerudder/store/commands.py
@@ -1,7 +1,7 @@
 """Commands of the replicated key-value state: types, encoding in the log, and size limits.
 
-Every type here is stored in the log or in snapshots as a MessagePack array, so the order of the fields and
-the tags are part of the stored format. Only the names of the fields are free to change.
+All types in this module are stored in the log or in snapshots as MessagePack arrays: tags and the order of
+the fields are part of the stored format, field names are not.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 import msgspec
 
 MAX_KEY_BYTES = 256
-MAX_OPERATIONS = 64  #: comparisons and operations of one transaction, together
-MAX_TRANSACTION_VALUES = 4  #: a transaction may write as many bytes as this many values of the largest size
-MAX_QUOTED_KEY_CHARACTERS = 40  #: of a rejected key that an error message repeats
+MAX_OPERATIONS = 64  #: Maximum total of comparisons and operations per transaction
+MAX_TRANSACTION_VALUES = 4  #: Maximum bytes written per transaction, in multiples of the largest value
+MAX_QUOTED_KEY_CHARACTERS = 40  #: Maximum length of a rejected key in an error message
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a key; `version` counts the changes since the key was created."""
+    """The value of a key; `version` is the number of changes since the key was created."""
 
     value: bytes
     created_revision: int
@@ -27,15 +27,15 @@
 
 
 class CompareTarget(IntEnum):
-    """The property of a key that a comparison looks at."""
+    """The property of a key that is compared."""
 
     VALUE = 0
-    MODIFIED = 1  #: the revision of the last change, 0 for a key that does not exist
-    VERSION = 2  #: 0 for a key that does not exist
+    MODIFIED = 1  #: Revision of the last change, 0 if the key does not exist
+    VERSION = 2  #: Number of changes, 0 if the key does not exist
 
 
 class Compare(msgspec.Struct, frozen=True, array_like=True):
-    """Holds if the key's value equals `value`, or its revision or version equals `number`."""
+    """True if the key's value equals `value`, or its revision or version equals `number`."""
 
     key: str
     target: CompareTarget
@@ -57,7 +57,7 @@
 
 
 class Get(msgspec.Struct, frozen=True, array_like=True, tag="get"):
-    """Returns the item of a key as it is at this point of the transaction."""
+    """Returns the item of a key at this point of the transaction."""
 
     key: str
 
@@ -66,7 +66,7 @@
 
 
 class Transaction(msgspec.Struct, frozen=True, array_like=True):
-    """Runs `on_success` if all comparisons hold, else `on_failure`: atomically, at one revision."""
+    """Atomically runs `on_success` if all comparisons are true, else `on_failure`, at one revision."""
 
     comparisons: tuple[Compare, ...] = ()
     on_success: tuple[Operation, ...] = ()
@@ -84,9 +84,9 @@
 
 
 class SessionWrite(msgspec.Struct, frozen=True, array_like=True, tag="do"):
-    """A transaction within a session, which is applied once however often the client retries it.
+    """A transaction within a session, applied only once even if the client retries it.
 
-    `acknowledged_serial`: the client has the results of all its writes up to this serial number.
+    The client has received the results of all its writes up to `acknowledged_serial`.
     """
 
     session_id: int
@@ -101,11 +101,11 @@
 class CommandResult(msgspec.Struct, frozen=True, array_like=True):
     """The result of applying a command."""
 
-    index: int  # of the command in the log; for `OpenSession` this is the session's identifier
-    revision: int  # of the state after the command
-    succeeded: bool = True  # all comparisons held
-    items: tuple[Item | None, ...] = ()  # of the `Get` operations, in order
-    error: str = ""  # why the command was not applied: unknown session, or an outdated serial number
+    index: int  # log index of the command; for `OpenSession` also the session's identifier
+    revision: int  # revision of the state after the command
+    succeeded: bool = True  # all comparisons were true
+    items: tuple[Item | None, ...] = ()  # results of the `Get` operations, in order
+    error: str = ""  # reason for not applying the command: unknown session, or an outdated serial number
 
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -114,7 +114,7 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Encodes a command as a log entry holds it."""
+    """Encodes a command as the data of a log entry."""
     return _encode(command)
 
 
@@ -125,7 +125,7 @@
 
 
 def encode_result(result: CommandResult) -> bytes:
-    """Encodes a result as the leader's reply carries it."""
+    """Encodes a result for the leader's reply."""
     return _encode(result)
 
 
@@ -135,7 +135,7 @@
 
 
 def transaction_error(transaction: Transaction, max_value_bytes: int) -> str | None:
-    """Returns why a transaction exceeds the size limits or has an invalid key, or None if it is valid."""
+    """Returns the size limit or key rule that a transaction violates, or None if it is valid."""
     operations = (*transaction.on_success, *transaction.on_failure)
     if len(transaction.comparisons) + len(operations) > MAX_OPERATIONS:
         return f"more than {MAX_OPERATIONS} comparisons and operations"
--- a/limerudder/store/disk_writer.py
+++ b/limerudder/store/disk_writer.py
@@ -1,4 +1,4 @@
-"""The thread that makes a member's jobs durable, so that a slow disk does not stall the event loop."""
+"""A thread that makes a member's jobs durable, so that a slow disk does not stall the event loop."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from limerudder.store.durability import DurabilityJob
 from limerudder.store.raft.messages import Snapshot
 
-WRITE_RETRY_SECONDS = 0.1  #: after a failed write
+WRITE_RETRY_SECONDS = 0.1  #: Delay before a failed write is retried
 NO_ERROR = ""
 
-#: gets the jobs that have become durable, and the snapshot built for each of them
+#: Called with the jobs that have become durable, and the snapshot built for each of them.
 DurableCallback = Callable[[list[DurabilityJob], list[Snapshot | None]], None]
 
 
 class JobBatch(NamedTuple):
-    """Jobs that are written in one transaction; after the last batch the thread ends."""
+    """Jobs that are written in one transaction; the thread ends after the last batch."""
 
     jobs: list[DurabilityJob]
     is_last: bool
 
 
 class DiskWriter:
-    """Writes jobs in the order in which they are submitted; all that are waiting share one transaction.
+    """Writes jobs in the order of submission; all queued jobs share one transaction.
 
-    `on_durable` and the log are called in the event loop that was running when the writer was created. The
-    writer closes the disk when it ends.
+    `on_durable` and the log are called in the event loop in which the writer was created. The writer closes
+    the disk when its thread ends.
     """
 
     def __init__(self, disk: Disk, on_durable: DurableCallback, log: LogSink) -> None:
-        self.current_error = NO_ERROR  # of the write that is being retried
+        self.current_error = NO_ERROR  # error of the write that is being retried
         self._disk = disk
         self._on_durable = on_durable
         self._log = log
@@ -48,11 +48,11 @@
         self._thread.start()
 
     def submit(self, job: DurabilityJob) -> None:
-        """Queue a job; `on_durable` is called once it is durable, however long that takes."""
+        """Queue a job; `on_durable` is called once it is durable, without a time limit."""
         self._queue.put(job)
 
     def close(self, timeout_seconds: float) -> bool:
-        """Write what is queued and end; return whether that was done in time. Blocks meanwhile."""
+        """Write all queued jobs and stop; return whether this finished in time. Blocks."""
         self._queue.put(None)
         return self._finished.wait(timeout_seconds)
 
@@ -66,7 +66,7 @@
         self._finished.set()
 
     def _next_batch(self) -> JobBatch:
-        """Wait for a job, and take all others that are queued by then."""
+        """Wait for a job, and return it with all others in the queue."""
         jobs: list[DurabilityJob] = []
         job = self._queue.get()
         while job is not None:
@@ -78,12 +78,12 @@
         return JobBatch(jobs, is_last=True)
 
     def _write(self, jobs: list[DurabilityJob]) -> bool:
-        """Make jobs durable and report it; return False if the event loop has been closed."""
+        """Make jobs durable and report them; return False if the event loop has been closed."""
         snapshots = self._persist(jobs)
         return self._call_in_loop(self._on_durable, jobs, snapshots)
 
     def _persist(self, jobs: list[DurabilityJob]) -> list[Snapshot | None]:
-        # retried until it succeeds: messages that depend on these jobs must not leave before
+        # retries until it succeeds: messages that depend on these jobs must not be sent earlier
         while True:
             try:
                 snapshots = self._disk.persist(jobs)
@@ -95,7 +95,7 @@
                 return snapshots
 
     def _report_error(self, error: str) -> None:
-        """Log an error, or its end, unless it has been logged already."""
+        """Log a new error, or that writes succeed again; repeated errors are not logged."""
         if error == self.current_error:
             return
         self.current_error = error
--- a/limerudder/store/key_schema.py
+++ b/limerudder/store/key_schema.py
@@ -1,8 +1,8 @@
-"""The schema of the replicated keys: writes are validated against it before they are proposed.
+"""The schema of the replicated keys, against which writes are validated before they are proposed.
 
-`hosts/ID`  what is agreed on about a host, as JSON: see `drain_log.HostRecord`
-`config/…`  settings that take effect at runtime, as JSON: see `SETTINGS`
-`list/last` the last endpoint list of discovery, in discovery's own JSON
+`hosts/ID`  the agreed record of a host in JSON, see `drain_log.HostRecord`
+`config/…`  settings that take effect at runtime in JSON, see `SETTINGS`
+`list/last` the last endpoint list of discovery, in discovery's JSON format
 `kv/…`      any value
 """
 
@@ -22,9 +22,9 @@
 
 CONFIG_PREFIX = "config/"
 ENDPOINT_LIST_KEY = "list/last"
-FREE_PREFIX = "kv/"
+FREE_FORM_PREFIX = "kv/"
 
-#: the CUE type of each setting, as in the operator's file
+#: CUE type of each setting, as in the configuration file
 SETTINGS = {"config/discovery": "#Address", "config/log": "#Log"}
 
 
@@ -36,7 +36,7 @@
 
 
 def read_setting(key: str, value: bytes) -> Any:
-    """Decodes a setting and fills in its defaults; raises ValueError with the reason if it is invalid."""
+    """Decodes a setting with its defaults; raises ValueError with the reason if it is invalid."""
     if key not in SETTINGS:
         raise ValueError(f"{key}: no such setting; there are {', '.join(SETTINGS)}")
     try:
@@ -77,8 +77,8 @@
         read_setting(key, value)
     elif key == ENDPOINT_LIST_KEY:
         parse_endpoint_list(json.loads(value))
-    elif not key.startswith(FREE_PREFIX):
+    elif not key.startswith(FREE_FORM_PREFIX):
         raise ValueError(
-            f"{key}: keys begin with {HOST_KEY_PREFIX}, {CONFIG_PREFIX} or {FREE_PREFIX},"
+            f"{key}: keys begin with {HOST_KEY_PREFIX}, {CONFIG_PREFIX} or {FREE_FORM_PREFIX},"
             f" or are {ENDPOINT_LIST_KEY}"
         )
--- a/limerudder/store/snapshots.py
+++ b/limerudder/store/snapshots.py
@@ -1,7 +1,7 @@
 """Snapshots of the replicated key-value state, encoded as a sequence of chunks.
 
-The first chunk is a header; chunks of items and then chunks of sessions follow. The same state always gives
-the same bytes, so members can compare snapshots by their digest.
+The first chunk is a header, followed by chunks of items and chunks of sessions. The encoding of a state is
+deterministic, so members can compare snapshots by their digest.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from limerudder.store.commands import CommandResult, Item
 from limerudder.store.sessions import Session
 
-SNAPSHOT_CHUNK_BYTES = 128 * 1024  #: approximate size of a chunk
-SNAPSHOT_FORMAT = 1  #: older formats are read as well, newer ones are rejected
-ITEM_OVERHEAD_BYTES = 32  #: estimate of an item's encoded size without its key and value
-SESSION_OVERHEAD_BYTES = 32  #: estimate of a session's encoded size without its results
-RESULT_BYTES = 64  #: estimate of a result's encoded size
+SNAPSHOT_CHUNK_BYTES = 128 * 1024  #: Approximate size of a chunk
+SNAPSHOT_FORMAT = 1  #: Current format; older formats are read as well, newer ones are rejected
+ITEM_OVERHEAD_BYTES = 32  #: Estimated encoded size of an item without its key and value
+SESSION_OVERHEAD_BYTES = 32  #: Estimated encoded size of a session without its results
+RESULT_BYTES = 64  #: Estimated encoded size of a result
 
 Row = TypeVar("Row")
 ItemRow = tuple[str, Item]
@@ -26,11 +26,11 @@
 
 
 class SnapshotError(Exception):
-    """A snapshot that cannot be decoded."""
+    """A snapshot cannot be decoded."""
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The first chunk: the position of the snapshot in the log, and what the other chunks hold."""
+    """The first chunk: the snapshot's position in the log, and the contents of the other chunks."""
 
     format: int
     applied_index: int
@@ -54,7 +54,7 @@
 
 
 class SnapshotView:
-    """The state at one moment, copied so that it can be encoded while the state goes on changing."""
+    """A point-in-time copy of the state, which can be encoded while the state changes."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         ]
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the encoded chunks; the same state always gives the same bytes."""
+        """Yields the encoded chunks, which are the same for the same state."""
         yield _encode(self._header)
         yield from _encode_chunks(self._items, _item_bytes, self._chunk_bytes)
         yield from _encode_chunks(self._sessions, _session_bytes, self._chunk_bytes)
@@ -90,16 +90,16 @@
 
 
 def _encode_chunks(rows: Sequence[Row], row_bytes: Callable[[Row], int], chunk_bytes: int) -> Iterator[bytes]:
-    """Encodes rows in lists of about `chunk_bytes`; the last row of a list may exceed it."""
+    """Encodes rows in lists of about `chunk_bytes`, which the last row of a list may exceed."""
     chunk: list[Row] = []
-    room_bytes = chunk_bytes
+    remaining_bytes = chunk_bytes
     for row in rows:
         chunk.append(row)
-        room_bytes -= row_bytes(row)
-        if room_bytes <= 0:
+        remaining_bytes -= row_bytes(row)
+        if remaining_bytes <= 0:
             yield _encode(chunk)
             chunk = []
-            room_bytes = chunk_bytes
+            remaining_bytes = chunk_bytes
     if chunk:
         yield _encode(chunk)
 
@@ -109,18 +109,18 @@
     try:
         contents = _decode_chunks(chunks)
     except (msgspec.DecodeError, IndexError) as exc:
-        raise SnapshotError(f"a snapshot that cannot be read: {exc}") from exc
+        raise SnapshotError(f"malformed snapshot: {exc}") from exc
     header = contents.header
     found_counts = len(contents.items), len(contents.sessions)
     if found_counts != (header.item_count, header.session_count):
-        raise SnapshotError("a snapshot that lacks a piece")
+        raise SnapshotError("snapshot has a wrong number of items or sessions")
     return contents
 
 
 def _decode_chunks(chunks: Sequence[bytes]) -> SnapshotContents:
     header = _header_decoder.decode(chunks[0])
     if header.format > SNAPSHOT_FORMAT:
-        raise SnapshotError(f"a snapshot of format {header.format}; this build reads up to {SNAPSHOT_FORMAT}")
+        raise SnapshotError(f"snapshot has format {header.format}; this build reads up to {SNAPSHOT_FORMAT}")
     items: dict[str, Item] = {}
     sessions: dict[int, Session] = {}
     for chunk in chunks[1:]:
--- a/limerudder/store/state_machine.py
+++ b/limerudder/store/state_machine.py
@@ -1,7 +1,7 @@
 """The replicated state machine: a versioned key-value store that each member builds from the same log.
 
-Each change gets a revision. Applying a command depends on nothing but the state and the command, so all
-members that have applied the same log hold the same state. No I/O, no clock, no randomness.
+Each change gets a revision. Applying a command depends only on the state and the command, so all members that
+have applied the same log have the same state. This module uses no I/O, clock or randomness.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from limerudder.store.sessions import Session
 from limerudder.store.snapshots import SNAPSHOT_CHUNK_BYTES, SnapshotView, decode_snapshot
 
-MAX_SESSIONS = 4096  #: opening one more closes the least recently used
-MAX_UNACKNOWLEDGED_RESULTS = 512  #: of a session, so many of its writes may be in flight
-MAX_HISTORY_EVENTS = 10_000  #: changes kept for watches, unless the caller asks for another number
-MAX_CHANGES = 1000  #: returned by one call, unless the caller asks for another number
+MAX_SESSIONS = 4096  #: Maximum number of open sessions; opening another closes the least recently used
+MAX_UNACKNOWLEDGED_RESULTS = 512  #: Maximum number of writes in flight per session
+MAX_HISTORY_EVENTS = 10_000  #: Default number of changes kept for watches
+MAX_CHANGES = 1000  #: Default maximum number of changes returned by a call
 
 
 class ChangeEvent(msgspec.Struct, frozen=True, array_like=True):
@@ -45,7 +45,7 @@
 
 
 class CompactedError(Exception):
-    """The requested changes are no longer kept; `revision` is the last one that has been discarded."""
+    """The requested changes have been discarded; `revision` is the last discarded one."""
 
     def __init__(self, revision: int) -> None:
         super().__init__(f"changes up to revision {revision} are no longer kept")
@@ -59,7 +59,7 @@
         self.items: dict[str, Item] = {}
         self.sessions: dict[int, Session] = {}  # least recently used first
         self.revision = 0
-        self.applied_index = 0  # of the last log entry applied
+        self.applied_index = 0  # index of the last applied log entry
         self.history: deque[ChangeEvent] = deque()
         self.compacted_revision = 0  # changes up to this revision have been discarded
         self._sorted_keys: list[str] = []
@@ -71,7 +71,7 @@
         self.applied_index = index
         try:
             command = decode_command(data)
-        except msgspec.DecodeError as exc:  # the same at every member: the entry changes nothing
+        except msgspec.DecodeError as exc:  # deterministic on every member; the entry changes nothing
             return self._rejection(f"a command that cannot be read: {exc}")
         match command:
             case OpenSession():
@@ -110,7 +110,7 @@
         return result
 
     def _run(self, transaction: Transaction) -> CommandResult:
-        succeeded = all(map(self._holds, transaction.comparisons))
+        succeeded = all(map(self._is_true, transaction.comparisons))
         operations = transaction.on_success if succeeded else transaction.on_failure
         items = self._execute(operations)
         while len(self.history) > self._max_history_events:
@@ -118,7 +118,7 @@
         return CommandResult(self.applied_index, self.revision, succeeded, items)
 
     def _execute(self, operations: Sequence[Operation]) -> tuple[Item | None, ...]:
-        """Executes the operations at one new revision, or at the present one if none changes anything."""
+        """Executes the operations at one new revision, or at the current one if none changes the state."""
         revision = self.revision + 1
         changed = False
         items: list[Item | None] = []
@@ -136,7 +136,7 @@
             self.revision = revision
         return tuple(items)
 
-    def _holds(self, compare: Compare) -> bool:
+    def _is_true(self, compare: Compare) -> bool:
         item = self.items.get(compare.key)
         match compare.target:
             case CompareTarget.VALUE:
@@ -168,7 +168,7 @@
         return self.items.get(key)
 
     def list_prefix(self, prefix: str, max_items: int | None = None) -> list[tuple[str, Item]]:
-        """Returns the keys with this prefix and their items, in the order of the keys."""
+        """Returns the keys with this prefix and their items, sorted by key."""
         found: list[tuple[str, Item]] = []
         for position in range(bisect_left(self._sorted_keys, prefix), len(self._sorted_keys)):
             key = self._sorted_keys[position]
@@ -182,8 +182,8 @@
     ) -> tuple[list[ChangeEvent], int]:
         """Returns the changes after a revision, and the revision up to which they are complete.
 
-        All changes of a transaction are returned together, so that a watch never stops within one. Raises
-        CompactedError if some of the changes are no longer kept.
+        All changes of a transaction are returned together, so that a watch never receives only some of them.
+        Raises CompactedError if some of the changes have been discarded.
         """
         if revision < self.compacted_revision:
             raise CompactedError(self.compacted_revision)
@@ -210,7 +210,7 @@
         return SnapshotView(self.applied_index, self.revision, self.items, self.sessions, chunk_bytes)
 
     def restore(self, chunks: Sequence[bytes]) -> None:
-        """Replaces the state by a snapshot; raises SnapshotError, and changes nothing, if it is malformed."""
+        """Replaces the state by a snapshot; raises SnapshotError without changes if it is malformed."""
         header, items, sessions = decode_snapshot(chunks)
         self.items = items
         self.sessions = sessions
@@ -218,4 +218,4 @@
         self.applied_index = header.applied_index
         self._sorted_keys = sorted(items)
         self.history.clear()
-        self.compacted_revision = header.revision  # a snapshot holds no history for watches
+        self.compacted_revision = header.revision  # snapshots contain no change history
--- a/tests/store_disk_helpers.py
+++ b/tests/store_disk_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of data directories share."""
+"""Helpers of the tests of data directories."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 def entries(first: int, last: int, term: int = 1) -> tuple[Entry, ...]:
-    """Return log entries, each with different data."""
+    """Return log entries with distinct data."""
     return tuple(Entry(n, term, EntryKind.DATA, f"{n}.{term}".encode()) for n in range(first, last + 1))
 
 
 def write_job(number: int, **changes: Any) -> DurabilityJob:
-    """Return a job that makes changes of Raft's state durable."""
+    """Return a job that makes changes of the Raft state durable."""
     return DurabilityJob(number, RaftWrite(number, **changes))
 
 
 def load_raft_state(folder: Path) -> PersistentState:
-    """Return what the data directory `s` holds of Raft's state."""
+    """Return the Raft state in the data directory `s`."""
     with Disk(str(folder / "s")) as disk:
         return disk.load(count_start=False).durable_state.raft_state
--- a/tests/test_store_key_schema.py
+++ b/tests/test_store_key_schema.py
@@ -47,7 +47,7 @@
     assert error is not None and reason in error
 
 
-def test_valid_writes_pass() -> None:
+def test_valid_writes_are_accepted() -> None:
     operations = (
         Put("kv/a", b"\xff\x00"),
         Put("hosts/a", encode_host_record(HostRecord(3, True, "x", 4))),
--- a/tests/test_store_state_machine.py
+++ b/tests/test_store_state_machine.py
@@ -31,7 +31,7 @@
 
 
 class SessionClient:
-    """A client with one session on a state of its own."""
+    """A client with one session and its own key-value state."""
 
     def __init__(self, max_history_events: int = 1000) -> None:
         self.state = KeyValueState(max_history_events)
@@ -45,13 +45,13 @@
         comparisons: tuple[Compare, ...] = (),
         on_failure: tuple[Operation, ...] = (),
     ) -> CommandResult:
-        """Runs a transaction under the next serial number, with all results acknowledged."""
+        """Runs a transaction with the next serial number and all results acknowledged."""
         self.serial += 1
         transaction = Transaction(comparisons, on_success, on_failure)
         return self.write(self.serial, self.serial - 1, transaction)
 
     def write(self, serial: int, acknowledged_serial: int, transaction: Transaction) -> CommandResult:
-        """Runs a transaction under any serial number."""
+        """Runs a transaction with the given serial number."""
         self.index += 1
         command = SessionWrite(self.session_id, serial, acknowledged_serial, transaction)
         return self.state.apply(self.index, encode_command(command))
@@ -71,7 +71,7 @@
     assert not failed.succeeded and failed.revision == 2 and failed.items == (item,)
     absent = Compare("b", CompareTarget.VERSION, b"", 0)
     assert client.run(Put("b", b"1"), comparisons=(absent,)).succeeded, "an absent key has version 0"
-    assert client.run(Delete("nothing")).revision == 3, "a transaction without effect gets no revision"
+    assert client.run(Delete("nothing")).revision == 3, "a transaction without changes gets no revision"
     assert [key for key, _ in client.state.list_prefix("")] == ["a", "b"]
 
 
@@ -100,7 +100,7 @@
     assert "has ended" in client.run(Put("a", b"2")).error
 
 
-def test_a_watch_gets_all_changes_in_order_or_an_error_if_some_are_discarded() -> None:
+def test_a_watch_receives_all_changes_in_order_or_an_error_if_some_are_discarded() -> None:
     client = SessionClient(max_history_events=10)
     for number in range(8):
         client.run(Put(f"k/{number}", b"1"), Put("other", b"1"))
@@ -119,7 +119,7 @@
     assert restored.compacted_revision == 8 and restored.changes_since(8) == ([], 8)
 
 
-def test_a_snapshot_restores_all_and_a_malformed_one_changes_nothing() -> None:
+def test_a_snapshot_restores_the_state_and_a_malformed_one_changes_nothing() -> None:
     client = SessionClient()
     for number in range(50):
         client.run(Put(f"k/{number}", b"v" * number))
