--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Data written by release 0.2.0: this code reads each form and writes the same bytes."""
+"""Data written by release 0.2.0: this code reads each format and writes the same bytes."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 from limerudder.store.state_machine import KeyValueState
 
 DATA = Path(__file__).parent / "data" / "formats"
-WRITTEN: dict[str, Any] = json.loads((DATA / "formats.json").read_text())
+GOLDEN: dict[str, Any] = json.loads((DATA / "formats.json").read_text())
 
 CONFIG = raft.ClusterConfig(
     (
@@ -120,12 +120,12 @@
 
 def test_every_kind_of_store_message_is_covered() -> None:
     tags = {kind.__struct_config__.tag for kind in rpc.StoreMessage.__args__}
-    assert tags == set(MESSAGES) == set(WRITTEN["store_messages"])
+    assert tags == set(MESSAGES) == set(GOLDEN["store_messages"])
 
 
 @pytest.mark.parametrize("tag", MESSAGES)
 def test_store_messages(tag: str) -> None:
-    framed = bytes.fromhex(WRITTEN["store_messages"][tag])
+    framed = bytes.fromhex(GOLDEN["store_messages"][tag])
     (body,) = FrameDecoder().feed(framed)
     assert rpc.decode_message(body) == MESSAGES[tag]
     assert encode_frame(rpc.encode_message(MESSAGES[tag])) == framed
@@ -135,23 +135,23 @@
     handshake = Handshake(1, 9, 5, 6, "n0", Incarnation(3, 77), 4, 12)
     rejection = "build 2 of the protocol; this member speaks 1"
     for name, value in (("peer_hello", handshake), ("peer_refusal", rejection)):
-        framed = bytes.fromhex(WRITTEN[name])
+        framed = bytes.fromhex(GOLDEN[name])
         (body,) = FrameDecoder().feed(framed)
         assert msgspec.msgpack.decode(body, type=Handshake | str) == value
         assert encode_frame(msgspec.msgpack.encode(value)) == framed
 
 
 def test_commands_and_configurations() -> None:
-    written = [bytes.fromhex(command) for command in WRITTEN["commands"]]
+    written = [bytes.fromhex(command) for command in GOLDEN["commands"]]
     assert tuple(map(decode_command, written)) == COMMANDS
     assert list(map(encode_command, COMMANDS)) == written
-    config = bytes.fromhex(WRITTEN["config"])
+    config = bytes.fromhex(GOLDEN["config"])
     assert raft.decode_config(config) == CONFIG
     assert raft.encode_config(CONFIG) == config
 
 
 def test_snapshot_chunks() -> None:
-    written = [bytes.fromhex(chunk) for chunk in WRITTEN["snapshot_pieces"]]
+    written = [bytes.fromhex(chunk) for chunk in GOLDEN["snapshot_pieces"]]
     applied = KeyValueState()
     for index, command in enumerate(COMMANDS, 2):
         applied.apply(index, encode_command(command))
@@ -165,24 +165,24 @@
 
 def test_drain_facts_and_host_records() -> None:
     for name, fact in FACTS.items():
-        written = bytes.fromhex(WRITTEN["facts"][name])
+        written = bytes.fromhex(GOLDEN["facts"][name])
         assert drain_log.decode_fact(written) == fact
         assert drain_log.encode_fact(fact) == written
-    for text, record in zip(WRITTEN["host_records"], (drain_log.HostRecord(), HOST_RECORD), strict=True):
+    for text, record in zip(GOLDEN["host_records"], (drain_log.HostRecord(), HOST_RECORD), strict=True):
         assert drain_log.decode_host_record(text.encode()) == record
         assert drain_log.encode_host_record(record).decode() == text
 
 
 @pytest.fixture
 def killed_store(tmp_path: Path) -> Path:
-    """A copy of the data directory of a member that was killed amid a transaction."""
+    """A copy of the data directory of a member that was killed during a transaction."""
     folder = tmp_path / "killed"
     shutil.copytree(DATA / "killed-store", folder)
     return folder
 
 
 def _rows(folder: Path) -> Iterator[tuple[Any, ...]]:
-    """Every row of a closed store's file, except the random number of its start."""
+    """All rows of a closed database except the incarnation, which contains a random number."""
     database = sqlite3.connect(folder / DATABASE_FILE)
     try:
         for table in ("meta", "log", "snapshot", "incoming", "facts", "known", "shown"):
@@ -195,30 +195,30 @@
 
 def test_a_killed_members_data_directory_is_read(killed_store: Path) -> None:
     disk = Disk(str(killed_store))
-    opened = disk.load(count_start=False)
+    contents = disk.load(count_start=False)
     disk.close()
-    assert opened.identity == MemberIdentity(9, 5, "n0")
-    assert opened.incarnation.number == 1
-    assert opened.durability_proofs == {6: DurabilityProof(Incarnation(3, 77), 1, 9)}
-    assert opened.durable_state.drain_facts == {1: FACTS["drain"], 3: FACTS["back"]}
-    assert opened.durable_state.known_values == {
+    assert contents.identity == MemberIdentity(9, 5, "n0")
+    assert contents.incarnation.number == 1
+    assert contents.durability_proofs == {6: DurabilityProof(Incarnation(3, 77), 1, 9)}
+    assert contents.durable_state.drain_facts == {1: FACTS["drain"], 3: FACTS["back"]}
+    assert contents.durable_state.known_values == {
         "hosts/s-1": (2, drain_log.encode_host_record(HOST_RECORD)),
         "config/log": (1, None),
     }
-    saved = opened.durable_state.raft_state
+    saved = contents.durable_state.raft_state
     assert saved.hard_state == HardState(2, 6)
     assert saved.initial_config == CONFIG
     assert saved.incoming_snapshot == IncomingSnapshot(INCOMING, (b"first", b"second"))
     assert saved.snapshot is not None
     assert saved.snapshot.meta.index == 7
-    records = KeyValueState()
-    records.restore(saved.snapshot.chunks)
+    state = KeyValueState()
+    state.restore(saved.snapshot.chunks)
     assert [entry.index for entry in saved.entries] == list(range(5, 13))
     assert saved.entries[-1].kind == raft.EntryKind.CONFIG
     for entry in saved.entries:
         if entry.index > 7 and entry.kind == raft.EntryKind.DATA:
-            records.apply(entry.index, entry.data)
-    assert sorted(records.items) == ["config/log", "hosts/s-1", "last"]
+            state.apply(entry.index, entry.data)
+    assert sorted(state.items) == ["config/log", "hosts/s-1", "last"]
 
 
 def test_the_same_jobs_write_the_same_rows(killed_store: Path, tmp_path: Path) -> None:
@@ -232,10 +232,10 @@
     ]
     entries.append(raft.Entry(12, 1, raft.EntryKind.CONFIG, raft.encode_config(CONFIG)))
     disk.persist([DurabilityJob(1, RaftWrite(1, hard_state=HardState(1, 5), entries=tuple(entries[:8])))])
-    records = KeyValueState()
+    state = KeyValueState()
     for entry in entries[1:7]:
-        records.apply(entry.index, entry.data)
-    disk.persist([DurabilityJob(2, None, SnapshotJob(7, 1, CONFIG, records.snapshot_view(200), 5))])
+        state.apply(entry.index, entry.data)
+    disk.persist([DurabilityJob(2, None, SnapshotJob(7, 1, CONFIG, state.snapshot_view(200), 5))])
     facts = tuple(drain_log.NumberedFact(number, fact) for number, fact in enumerate(FACTS.values(), 1))
     known_values = {
         "hosts/s-1": KnownValue(2, drain_log.encode_host_record(HOST_RECORD)),
@@ -252,9 +252,9 @@
 
 
 def test_backup_file(tmp_path: Path) -> None:
-    head, snapshot = read_backup(str(DATA / "backup"))
-    assert (head.cluster_id, snapshot.meta.index, snapshot.meta.config) == (9, 11, CONFIG)
-    assert [chunk.hex() for chunk in snapshot.chunks] == WRITTEN["snapshot_pieces"]
+    header, snapshot = read_backup(str(DATA / "backup"))
+    assert (header.cluster_id, snapshot.meta.index, snapshot.meta.config) == (9, 11, CONFIG)
+    assert [chunk.hex() for chunk in snapshot.chunks] == GOLDEN["snapshot_pieces"]
     assert snapshot.meta.digest == snapshot_digest(snapshot.chunks)
     write_backup(str(tmp_path / "backup"), 9, snapshot)
     assert (tmp_path / "backup").read_bytes() == (DATA / "backup").read_bytes()
@@ -262,21 +262,21 @@
 
 def test_join_token(tmp_path: Path) -> None:
     member = CONFIG.members[1]
-    assert encode_join_token(9, member) == WRITTEN["join_ticket"]
-    assert join_cluster(str(tmp_path / "joined"), WRITTEN["join_ticket"]) == member
+    assert encode_join_token(9, member) == GOLDEN["join_ticket"]
+    assert join_cluster(str(tmp_path / "joined"), GOLDEN["join_ticket"]) == member
 
 
 def test_marks_of_the_state_directory(tmp_path: Path) -> None:
     folder = DATA / "state-folder"
-    assert MarkFiles(str(folder)).read() == set(WRITTEN["state_folder_marks"])
+    assert MarkFiles(str(folder)).read() == set(GOLDEN["state_folder_marks"])
     files = MarkFiles(str(tmp_path))
-    for name in WRITTEN["state_folder_marks"]:
+    for name in GOLDEN["state_folder_marks"]:
         files.add(name)
     assert sorted(path.name for path in tmp_path.iterdir()) == sorted(path.name for path in folder.iterdir())
 
 
 def test_peer_datagram() -> None:
-    written = bytes.fromhex(WRITTEN["peer_datagram"])
+    written = bytes.fromhex(GOLDEN["peer_datagram"])
     assert gossip.decode(written) == ((12.34, 5.6), [(70000 & 0xFFFF, 0.5, 3), (2, 255 / 64, 255)])
     rows = [gossip.LoadRow(70000, 0.5, 3), gossip.LoadRow(2, 9.0, 400)]
     assert next(gossip.encode(gossip.ConnectionRates(12.34, 5.6), rows)) == written
@@ -292,11 +292,11 @@
 
 class _StoppedTimerWheel:
     def schedule(self, due_us: int, callback: Any) -> None:
-        """No time passes."""
+        """Never call back."""
 
 
 class _FakeNode:
-    """What hot restart needs of a node; records what it is notified of."""
+    """The node as used by hot restart; records all notifications."""
 
     def __init__(self) -> None:
         self.timer_wheel = _StoppedTimerWheel()
@@ -308,13 +308,13 @@
         self.notified: list[Any] = []
 
     def log(self, kind: LogKind, text: str, /, detail: str = "") -> None:
-        """Not looked at here."""
+        """Ignored in these tests."""
 
     def leave_turns(self) -> None:
-        """Not looked at here."""
+        """Ignored in these tests."""
 
     def take_turns(self, delay_us: int = 0) -> None:
-        """Not looked at here."""
+        """Ignored in these tests."""
 
     def endpoint_list(self) -> EndpointList:
         return parse_endpoint_list(hosts(host("s-1"), host("s-2", "127.0.0.1:10", "leaving"), reset=True))
@@ -347,29 +347,29 @@
 def test_handover_lines_of_the_parent() -> None:
     node: Any = _FakeNode()
     parent = create_parent(node, lambda: None, lambda: None)
-    assert parent.state_line().decode() == WRITTEN["handover"]["hello"]
+    assert parent.state_line().decode() == GOLDEN["handover"]["hello"]
     connection = SuccessorConnection(parent)
     transport = _RecordingTransport()
     connection.connection_made(transport, 0)  # type: ignore[arg-type]
     for request_accepted in node.on_request_accepted:
         request_accepted(0x9B1F03AA5C7E2D42)
     parent.announce(EndpointDrained("s-1", 1700000000999))
-    connection.data_received(WRITTEN["handover"]["successor_lines"].encode(), 0)
+    connection.data_received(GOLDEN["handover"]["successor_lines"].encode(), 0)
     parent.announce(ParentStopping())
-    assert transport.sent.decode() == WRITTEN["handover"]["parent_lines"]
+    assert transport.sent.decode() == GOLDEN["handover"]["parent_lines"]
     assert node.has_successor
 
 
-def test_handover_lines_as_the_successor_reads_them() -> None:
+def test_handover_lines_read_by_the_successor() -> None:
     node: Any = _FakeNode()
-    state = parse_handover_state(WRITTEN["handover"]["hello"].encode())
+    state = parse_handover_state(GOLDEN["handover"]["hello"].encode())
     assert state.endpoints == node.endpoint_list()
     assert state.request_ids == (1, 0x9B1F03AA5C7E2D41)
     assert state.config_reloaded
     assert state.drained_starts == {"s-2": 1700000000123}
     called: list[str] = []
     successor = create_successor(node, state, 0, lambda: called.append("ready"), lambda: None)
-    successor.data_received(WRITTEN["handover"]["parent_lines"].encode(), 0)
+    successor.data_received(GOLDEN["handover"]["parent_lines"].encode(), 0)
     assert node.notified == [
         node.resource_usage(),
         node.return_to_service_times(),
@@ -383,10 +383,10 @@
     transport = _RecordingTransport()
     successor.connection_made(transport, 0)  # type: ignore[arg-type]
     successor.announce_serving()
-    assert transport.sent.decode() == WRITTEN["handover"]["successor_lines"]
+    assert transport.sent.decode() == GOLDEN["handover"]["successor_lines"]
 
 
 def test_the_state_directorys_name_is_that_of_the_previous_release(tmp_path: Path) -> None:
     peers = ["127.0.0.1:8081", "127.0.0.2:8081"]
     environment = configuration(tmp_path, listen="127.0.0.1:8080", peer_listen="127.0.0.1:8081", peers=peers)
-    assert load_config({**environment, "TMPDIR": "/tmp"}).state == WRITTEN["state_folder_name"]
+    assert load_config({**environment, "TMPDIR": "/tmp"}).state == GOLDEN["state_folder_name"]
