--- a/limerudder/store/disk.py
+++ b/limerudder/store/disk.py
@@ -65,7 +65,7 @@
     identity: MemberIdentity
     incarnation: Incarnation
     durable_state: DurableState
-    durability_proofs: dict[int, DurabilityProof]  # by member id
+    durability_proofs: dict[int, DurabilityProof]  # member id -> proof
 
 
 class Disk:
--- a/limerudder/store/recovery.py
+++ b/limerudder/store/recovery.py
@@ -35,9 +35,7 @@
     last_index: int = msgspec.field(name="last")  # last index of this member's log
     snapshot_index: int = msgspec.field(name="snapshot")
     uncertain_entries: int = msgspec.field(name="unknown")  # possibly uncommitted; kept by a recovery
-    other_members: tuple[str, ...] = msgspec.field(
-        name="others"
-    )  # names of members that may have had more data
+    other_members: tuple[str, ...] = msgspec.field(name="others")  # members with possibly more data
 
 
 def recover_single_member(directory: str, confirmed: bool) -> DataLoss:
--- a/limerudder/store/snapshots.py
+++ b/limerudder/store/snapshots.py
@@ -73,7 +73,7 @@
         ]
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the encoded chunks, which are the same for the same state."""
+        """Yields the encoded chunks; the encoding of a state is deterministic."""
         yield _encode(self._header)
         yield from _encode_chunks(self._items, _item_bytes, self._chunk_bytes)
         yield from _encode_chunks(self._sessions, _session_bytes, self._chunk_bytes)
--- a/limerudder/store/state_machine.py
+++ b/limerudder/store/state_machine.py
@@ -31,7 +31,7 @@
 from limerudder.store.snapshots import SNAPSHOT_CHUNK_BYTES, SnapshotView, decode_snapshot
 
 MAX_SESSIONS = 4096  #: Maximum number of open sessions; opening another closes the least recently used
-MAX_UNACKNOWLEDGED_RESULTS = 512  #: Maximum number of writes in flight per session
+MAX_UNACKNOWLEDGED_RESULTS = 512  #: Maximum number of results kept, and so of writes in flight, per session
 MAX_HISTORY_EVENTS = 10_000  #: Default number of changes kept for watches
 MAX_CHANGES = 1000  #: Default maximum number of changes returned by a call
 
