--- a/bench/store_failover.py
+++ b/bench/store_failover.py
@@ -85,7 +85,7 @@
 def _store_snapshot(directory: str, state: KeyValueState) -> None:
     chunks = tuple(state.snapshot_view().chunks())
     with Disk(directory) as disk:
-        contents = disk.load(count_start=False)
+        contents = disk.load(begin_incarnation=False)
         config = contents.durable_state.raft_state.initial_config
         meta = SnapshotMeta(state.applied_index, 1, config, len(chunks), snapshot_digest(chunks))
         disk.start_new_cluster(contents.identity, HardState(1, 0), Snapshot(meta, chunks))
--- a/limerudder/store/data_directory.py
+++ b/limerudder/store/data_directory.py
@@ -110,7 +110,7 @@
 
 
 def _start_with_snapshot(disk: Disk, snapshot: Snapshot) -> None:
-    contents = disk.load(count_start=False)
+    contents = disk.load(begin_incarnation=False)
     config = contents.durable_state.raft_state.initial_config
     meta = msgspec.structs.replace(snapshot.meta, term=RESTORED_TERM, config=config)
     hard_state = HardState(RESTORED_TERM, NO_VOTE)
--- a/limerudder/store/disk.py
+++ b/limerudder/store/disk.py
@@ -114,10 +114,10 @@
             raise DiskClosedError("closed")
         return self._connection
 
-    def load(self, count_start: bool = True) -> DiskContents:
-        """Read and verify all data; `count_start` records a new incarnation. Raises DiskError."""
+    def load(self, begin_incarnation: bool = True) -> DiskContents:
+        """Read and verify all data; `begin_incarnation` starts a new incarnation. Raises DiskError."""
         try:
-            return self._load(count_start)
+            return self._load(begin_incarnation)
         except sqlite3.Error as error:
             raise DatabaseError(f"{self.path}: {error}") from error
 
@@ -165,12 +165,12 @@
         _sync_directory(self._directory)
         _sync_directory(os.path.dirname(os.path.abspath(self._directory)))
 
-    def _load(self, count_start: bool) -> DiskContents:
+    def _load(self, begin_incarnation: bool) -> DiskContents:
         reader = SqliteReader(self.connection, self.path)
         self._migrate(reader.require_meta(MetaName.FORMAT, int))
         identity = reader.require_meta(MetaName.IDENTITY, MemberIdentity)
         incarnation = reader.require_meta(MetaName.INCARNATION, Incarnation)
-        if count_start:
+        if begin_incarnation:
             incarnation = self._begin_incarnation(incarnation)
         return DiskContents(identity, incarnation, reader.durable_state(), reader.durability_proofs())
 
--- a/limerudder/store/recovery.py
+++ b/limerudder/store/recovery.py
@@ -44,7 +44,7 @@
     Changes nothing unless `confirmed`. Raises DiskError.
     """
     with Disk(directory) as disk:
-        contents = disk.load(count_start=False)
+        contents = disk.load(begin_incarnation=False)
         try:
             recovered = _RecoveredState(contents.durable_state.raft_state)
         except SnapshotError as error:
--- a/tests/store_disk_helpers.py
+++ b/tests/store_disk_helpers.py
@@ -37,4 +37,4 @@
 def load_raft_state(folder: Path) -> PersistentState:
     """Return the Raft state in the data directory `s`."""
     with Disk(str(folder / "s")) as disk:
-        return disk.load(count_start=False).durable_state.raft_state
+        return disk.load(begin_incarnation=False).durable_state.raft_state
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -182,7 +182,9 @@
     wal = killed / (DATABASE_FILE + "-wal")
     os.truncate(wal, wal.stat().st_size - cut)
     reopened_disk = Disk(str(killed))
-    found = [entry.index for entry in reopened_disk.load(count_start=False).durable_state.raft_state.entries]
+    found = [
+        entry.index for entry in reopened_disk.load(begin_incarnation=False).durable_state.raft_state.entries
+    ]
     reopened_disk.close()
     assert found == list(range(1, len(found) + 1)) and 28 <= len(found) <= 29
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -195,7 +195,7 @@
 
 def test_a_killed_members_data_directory_is_read(killed_store: Path) -> None:
     disk = Disk(str(killed_store))
-    contents = disk.load(count_start=False)
+    contents = disk.load(begin_incarnation=False)
     disk.close()
     assert contents.identity == MemberIdentity(9, 5, "n0")
     assert contents.incarnation.number == 1
