--- a/limerudder/__init__.py
+++ b/limerudder/__init__.py
@@ -1,3 +1,3 @@
-"""A balancer node for long-lived connections on real sockets; `limerudder.policy` makes its decisions."""
+"""A load balancer node for long-lived connections; `limerudder.policy` makes its decisions."""
 
 __version__ = "0.2.0"
--- a/limerudder/__main__.py
+++ b/limerudder/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m limerudder`: handles signals from the first moment on, then loads and runs a node."""
+"""`python -m limerudder`: installs signal handlers first, then loads and runs a node."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 def main() -> int:
-    """Run a node until a signal stops it; return the process's exit code."""
+    """Run a node until a signal stops it; return the exit code."""
     signals = StartupSignals()
     signals.install()
     open_standard_descriptors()
-    # loaded only now: it takes most of a start, and a signal without its handler would end the process
+    # imported here: it takes most of the start-up time, and an unhandled signal would end the process
     from limerudder.node_main import NodeMain
 
     return NodeMain(signals).run()
 
 
 def open_standard_descriptors() -> None:
-    """Open the standard descriptors that are closed: a connection in the place of one would get the log."""
+    """Open closed standard descriptors: a connection that reused one would receive the log."""
     for descriptor in (0, 1, 2):
         try:
             os.fstat(descriptor)
         except OSError:
-            os.open(os.devnull, os.O_RDWR)  # takes the lowest number that is free, this one
+            os.open(os.devnull, os.O_RDWR)  # uses the lowest free number, which is this one
 
 
 if __name__ == "__main__":
--- a/limerudder/cli.py
+++ b/limerudder/cli.py
@@ -1,6 +1,6 @@
-"""The command line: `limerudder` and its sub-commands.
+"""Command line: `limerudder` and its subcommands.
 
-Each command imports what it needs beyond click itself, so that no command pays for another's libraries.
+Each command imports its own dependencies except click, so that no command loads another's libraries.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 if TYPE_CHECKING:
     from limerudder.schema import OperatorFile
 
-#: Begins the examples at the end of a help text; click leaves the lines of its paragraph as they are.
+#: Starts the examples at the end of a help text; click does not rewrap this paragraph.
 EXAMPLES = "\b\nExamples:\n"
 SHORT_HELP_CHARACTERS = 80
 
 
 @dataclass(frozen=True)
 class LazyCommand:
-    """Where a command is defined that is imported only when it is called."""
+    """Location of a command that is imported only when it is invoked."""
 
-    module: str  #: relative to this package
+    module: str  #: Module name relative to this package
     attribute: str
     short_help: str
 
@@ -41,25 +41,25 @@
 
 
 class LazyGroup(click.Group):
-    """A group some of whose commands are imported only when they are called."""
+    """A group with commands that are imported only when they are invoked."""
 
     def __init__(self, *args: Any, lazy_commands: dict[str, LazyCommand], **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         self.lazy_commands = lazy_commands
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the names of all commands, without importing any."""
+        """Return the names of all commands without importing them."""
         return sorted([*super().list_commands(ctx), *self.lazy_commands])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Return the command of this name, imported now if it is a lazy one."""
+        """Return the command with this name, importing it if it is lazy."""
         lazy_command = self.lazy_commands.get(name)
         if lazy_command is None:
             return super().get_command(ctx, name)
         return lazy_command.load()
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the list of commands into the help text, without importing any."""
+        """Write the list of commands to the help text without importing them."""
         rows = [(name, self._short_help(name)) for name in self.list_commands(ctx)]
         with formatter.section("Commands"):
             formatter.write_dl(rows)
@@ -72,7 +72,7 @@
 
 
 def fail(text: str, code: ExitCode = ExitCode.FAILED) -> NoReturn:
-    """Print one line on standard error and end the process with this exit code."""
+    """Print one line to standard error and exit with this code."""
     click.echo(f"limerudder: {text}", err=True)
     sys.exit(code)
 
@@ -80,27 +80,27 @@
 @click.group(
     cls=LazyGroup,
     lazy_commands={
-        "state": LazyCommand(".store.cli", "state", "Look after the replicated store."),
-        "lab": LazyCommand(".loadtest.cli", "lab", "Drive nodes and judge them."),
+        "state": LazyCommand(".store.cli", "state", "Manage the replicated store."),
+        "lab": LazyCommand(".loadtest.cli", "lab", "Run load tests against nodes and check the results."),
     },
     epilog=EXAMPLES + "  limerudder node\n  limerudder check limerudder.cue\n  limerudder state status",
     context_settings={"help_option_names": ["-h", "--help"]},
 )
 @click.version_option(__version__, message="limerudder %(version)s")
 def main() -> None:
-    """Balance long-lived connections, and look after the nodes that do.
+    """Balance long-lived connections, and manage the nodes that do so.
 
-    Exit codes are told in docs/COMMANDS.md.
+    docs/COMMANDS.md lists the exit codes.
     """
 
 
 @main.command(epilog=EXAMPLES + "  PROXY_CONFIG=/run/balancer/config.json limerudder node")
 @click.option("--file", type=click.Path(dir_okay=False), help="The operator's file.")
 def node(file: str | None) -> None:
-    """Run a node until it is told to stop.
+    """Run a node until a signal stops it.
 
-    The same as `python -m limerudder`: PROXY_CONFIG names the platform's file, and LIMERUDDER_FILE the
-    operator's where the option does not.
+    Equivalent to `python -m limerudder`: PROXY_CONFIG names the platform's file; LIMERUDDER_FILE names the
+    operator's file if the option is not given.
     """
     from limerudder.__main__ import main as run_node
 
@@ -111,10 +111,10 @@
 
 @main.command(epilog=EXAMPLES + "  limerudder check deploy/limerudder.cue\n  limerudder check --schema")
 @click.argument("file", required=False, type=click.Path(dir_okay=False))
-@click.option("--schema", is_flag=True, help="Print what may stand in the file, and end.")
-@click.option("--json", "as_json", is_flag=True, help="Print what the file says, with defaults.")
+@click.option("--schema", is_flag=True, help="Print the schema of the file and exit.")
+@click.option("--json", "as_json", is_flag=True, help="Print the content of the file, including defaults.")
 def check(file: str | None, schema: bool, as_json: bool) -> None:
-    """Check the operator's file and tell everything that is wrong with it."""
+    """Check the operator's file and report all errors in it."""
     from limerudder.schema import SCHEMA
 
     if schema:
@@ -130,7 +130,7 @@
 
 
 def _read_operator_file(path: str) -> OperatorFile:
-    """Read the operator's file, or end the process with every error in it."""
+    """Read the operator's file, or report all errors in it and exit."""
     from limerudder.cue.errors import CueError
     from limerudder.cue.parser import MAX_FILE_BYTES
     from limerudder.schema import read_operator_file
@@ -150,7 +150,7 @@
 @main.command(epilog=EXAMPLES + '  eval "$(limerudder completion bash)"')
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print the lines that make a shell complete this command."""
+    """Print the shell code that enables completion for this command."""
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
--- a/limerudder/config.py
+++ b/limerudder/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node process, read from environment and files."""
+"""Configuration of a node process, read from the environment and from files."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessConfig(NodeConfig):
-    """Everything a node process knows when it starts: the node's configuration, its sockets and its files."""
+    """Complete configuration of a node process: the node's settings, its addresses and its files."""
 
     name: str
     listen: Address
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    console: Address | None = None  # where operators connect
-    state: str | None = None  # the directory that outlives this process, if any
-    operator: OperatorFile | None = None  # the content of the operator's file, if there is one
+    console: Address | None = None  # address for operators
+    state: str | None = None  # path of the directory that persists across processes, if any
+    operator: OperatorFile | None = None  # content of the operator's file, if there is one
 
 
 def load_config(environment: Mapping[str, str]) -> ProcessConfig:
-    """Read the file that PROXY_CONFIG names; the other PROXY variables override what it says.
+    """Read the file named by PROXY_CONFIG; the other PROXY variables override its values.
 
     Raises ConfigError.
     """
@@ -47,7 +47,7 @@
     try:
         config = _parse_config({**content, **_overrides(environment)})
     except KeyError as exc:
-        raise ConfigError(f"{path} lacks {exc}") from exc
+        raise ConfigError(f"{path}: missing key {exc}") from exc
     except (TypeError, ValueError, AttributeError, OverflowError) as exc:
         raise ConfigError(f"{path}: {exc}") from exc
     config = replace(config, operator=load_operator_file(environment))
@@ -58,22 +58,23 @@
 
 
 def reload_config(environment: Mapping[str, str]) -> ProcessConfig:
-    """Read the file as it is now.
+    """Read the current content of the file.
 
-    The file wins for `discovery`: the environment still holds the address of the start. Raises ConfigError.
+    For `discovery` the file takes precedence: the environment still has the address set at start-up. Raises
+    ConfigError.
     """
     return load_config({name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"})
 
 
 def load_operator_file(environment: Mapping[str, str]) -> OperatorFile | None:
-    """Read the file that LIMERUDDER_FILE names, if it names one.
+    """Read the file named by LIMERUDDER_FILE, if it is set.
 
-    Raises ConfigError with everything that is wrong with the file.
+    Raises ConfigError that lists all errors in the file.
     """
     path = environment.get("LIMERUDDER_FILE")
     if not path:
         return None
-    # imported here, so that a node without such a file does not load the grammar's library
+    # imported here so that a node without such a file does not load the parser library
     from limerudder.cue.errors import CueError
     from limerudder.cue.parser import MAX_FILE_BYTES
     from limerudder.schema import read_operator_file
@@ -88,20 +89,20 @@
 
 
 def state_name(config: ProcessConfig) -> str:
-    """Return the name of the state folder, which is unique to this node of this tier.
+    """Return the name of the state directory, which is unique to this node of this tier.
 
-    The socket over which a new process takes over from the running one stands in that folder. The name
-    therefore covers everything that distinguishes the node, so that it never takes over the clients of a node
-    of another deployment that has the same name and address.
+    The directory contains the socket through which a new process takes over from the running one. The name
+    therefore covers everything that distinguishes the node, so that it cannot take over clients from a node
+    with the same name and address in another deployment.
     """
     digest = sha256(_identity_text(config).encode()).hexdigest()[:12]
     return "limerudder-{}-{}-{}".format(*config.listen, digest)
 
 
 def _identity_text(config: ProcessConfig) -> str:
-    """Return the text whose hash is in the state folder's name.
+    """Return the text whose hash is part of the state directory's name.
 
-    The text is a stored form: processes of earlier releases build the same one, with these words in it.
+    The text is a persistent format: processes of earlier releases build exactly the same text.
     """
     settings = config.settings
     names = config.names
@@ -137,7 +138,7 @@
     except (OSError, ValueError, RecursionError) as exc:
         raise ConfigError(f"cannot read {path}: {exc}") from exc
     if not isinstance(content, dict):
-        raise ConfigError(f"{path} holds no JSON object")
+        raise ConfigError(f"{path} does not contain a JSON object")
     return content
 
 
@@ -149,7 +150,7 @@
 def _parse_config(content: Mapping[str, Any]) -> ProcessConfig:
     settings = read_settings(flatten(content["settings"]))
     if not settings.classes:
-        raise ConfigError("the settings name no class")
+        raise ConfigError("the settings define no traffic class")
     return ProcessConfig(
         name=str(content["name"]),
         listen=_parse_address(content["listen"]),
@@ -176,7 +177,7 @@
 
 
 def _parse_address(text: object) -> Address:
-    """Parse `IPv4:port`; there is no DNS where a node runs. Raises ConfigError."""
+    """Parse `IPv4:port`; nodes run without DNS. Raises ConfigError."""
     try:
         return parse_address(text)
     except ValueError as exc:
--- a/limerudder/console_calls.py
+++ b/limerudder/console_calls.py
@@ -1,4 +1,4 @@
-"""The calls that operators make at the console, and their answers; scripts depend on the wording of both."""
+"""Console calls for operators and their answers; scripts depend on the exact wording of both."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConsoleCalls:
-    """Answers the console's calls for one node and its process."""
+    """Implements the console calls of one node process."""
 
     def __init__(self, node: Node, listener: ClientListener, store: StoreRuntime) -> None:
         self._node = node
@@ -21,7 +21,7 @@
         self._store = store
 
     def create_console(self) -> Console:
-        """Return a console with these calls; its error message lists them in this order."""
+        """Return a console with these calls, in the order in which its error message lists them."""
         console = Console(self._node.timer_wheel, self._node.counters)
         console.register("status", self._status)
         console.register("stats", self._stats)
@@ -52,6 +52,6 @@
             if call(name, now_us):
                 return self._store.maintenance_answer(name)
         except OSError as exc:
-            # the change would not outlive this process, so it must not be confirmed
+            # the change would be lost when this process exits, so it must not be confirmed
             raise ConsoleError(f"cannot write that down: {exc.strerror}") from exc
         raise ConsoleError("no such host")
--- a/limerudder/net/__init__.py
+++ b/limerudder/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin drivers between sockets and the state machines in limerudder.core. They decide nothing."""
+"""Thin drivers between sockets and the state machines in limerudder.core. They contain no policy."""
--- a/limerudder/net/accept_loop.py
+++ b/limerudder/net/accept_loop.py
@@ -1,7 +1,7 @@
-"""Accepting connections at a listening socket, also while the system is short of what that takes.
+"""Accepts connections on a listening socket, and retries when the system runs out of resources.
 
-libuv answers a descriptor shortage (EMFILE, ENFILE) by closing the connections that wait: their clients would
-be closed unanswered for a failure of a moment. Here they stay in the socket's queue until a later try.
+libuv responds to a descriptor shortage (EMFILE, ENFILE) by closing pending connections, so that a transient
+error would disconnect their clients without a response. Here they stay in the listen queue until a retry.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import socket
 from collections.abc import Callable
 
-RETRY_SECONDS = 0.02  #: after a failure that concerns the system and not one connection
-MAX_ACCEPTS_PER_EVENT = 64  #: so that a burst of clients does not keep the event loop from the others
+RETRY_SECONDS = 0.02  #: Delay after an error of the system rather than of one connection
+MAX_ACCEPTS_PER_EVENT = 64  #: Limit that keeps a burst of clients from blocking the event loop
 
 
 class AcceptLoop:
-    """Accepts connections while it is open, and gives each a protocol of its own."""
+    """Accepts connections while it is open, and creates a protocol for each."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         sock: socket.socket,
         protocol_factory: Callable[[], asyncio.Protocol],
     ) -> None:
-        """Take over the listening socket, which must not block."""
+        """Take ownership of the listening socket and make it non-blocking."""
         self._loop = loop
         self._socket = sock
         sock.setblocking(False)
@@ -32,30 +32,30 @@
         self._tasks: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
-        """Accept from now on."""
+        """Start accepting."""
         self._retry = None
         try:
-            self._loop.add_reader(self._socket.fileno(), self._accept_waiting)
-        except OSError:  # no room for one more watched descriptor
+            self._loop.add_reader(self._socket.fileno(), self._accept_pending)
+        except OSError:  # the poller cannot register another descriptor
             self._retry = self._loop.call_later(RETRY_SECONDS, self.open)
 
     def close(self) -> None:
-        """Stop, and close the socket; what waits in its queue is left to processes that share it."""
+        """Stop accepting and close the socket; pending connections are left to processes that share it."""
         if self._retry:
             self._retry.cancel()
         if self._socket.fileno() >= 0:
             self._loop.remove_reader(self._socket.fileno())
             self._socket.close()
 
-    def _accept_waiting(self) -> None:
+    def _accept_pending(self) -> None:
         for _ in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 connection, _address = self._socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
-            except ConnectionAbortedError:  # this one client has left again
+            except ConnectionAbortedError:  # the client has already disconnected
                 continue
-            except OSError:  # EMFILE, ENFILE, ENOBUFS, ENOMEM, or an error of the network
+            except OSError:  # EMFILE, ENFILE, ENOBUFS, ENOMEM, or a network error
                 self._pause()
                 return
             self._start(connection)
--- a/limerudder/net/error_text.py
+++ b/limerudder/net/error_text.py
@@ -1,4 +1,4 @@
-"""One line of text for an exception that nothing handled: what it is, and the place that it came from."""
+"""One-line description of an unhandled exception and of where it was raised."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def error_text(error: BaseException) -> str:
-    """Return the error's type and text and the innermost place in this package, as one line."""
+    """Return the error's type, its message and the innermost stack frame in this package, as one line."""
     text = " ".join(f"{type(error).__name__}: {error}".split())
     frames = traceback.extract_tb(error.__traceback__)
     own_frames = [frame for frame in frames if frame.filename.startswith(PACKAGE_DIRECTORY)]
     if not frames:
         return text
-    place = (own_frames or frames)[-1]
-    return f"{text} in {place.name}, {os.path.basename(place.filename)} line {place.lineno}"
+    innermost = (own_frames or frames)[-1]
+    return f"{text} in {innermost.name}, {os.path.basename(innermost.filename)} line {innermost.lineno}"
--- a/limerudder/net/listener.py
+++ b/limerudder/net/listener.py
@@ -1,4 +1,4 @@
-"""The node's own addresses: sockets bound to them, and servers that accept connections there."""
+"""Sockets bound to the node's own addresses, and listeners that accept connections on them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from limerudder.net.tcp import TcpConnection
 
 LISTEN_BACKLOG = 4096
-#: What the system buffers of a client's data, and so the most that one read event can bring.
+#: Receive buffer size per client, and so the maximum amount of data in one read event.
 RECEIVE_BUFFER_BYTES = 64 * 1024
 
 ConnectionFactory = Callable[[], TcpConnection]
 
 
 def bind_socket(address: Address, kind: socket.SocketKind, *, reuse_port: bool = False) -> socket.socket:
-    """Return a socket bound to one of the node's own addresses; raises ConfigError if that fails."""
+    """Return a socket bound to one of the node's own addresses; raises ConfigError on failure."""
     try:
         sock = socket.socket(socket.AF_INET, kind)
     except OSError as exc:
@@ -29,7 +29,7 @@
         if kind is socket.SOCK_STREAM:
             _set_listening_options(sock)
         if reuse_port:
-            # a successor whose predecessor does not answer must be able to bind the same address
+            # a successor must be able to bind the same address if its predecessor does not respond
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
         sock.setblocking(False)
@@ -41,11 +41,11 @@
 
 def _set_listening_options(sock: socket.socket) -> None:
     """Set the options that accepted connections inherit, except for SO_REUSEADDR."""
-    # a restarted node binds while connections of its last run are still closing
+    # a restarted node binds while connections of the previous process are still closing
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # bounds what one client that sends at full speed can occupy the event loop with in one read
+    # bounds the time that a client sending at full speed can occupy the event loop in one read
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    # without it the system may hold back a final response, which is lost if the connection is then closed
+    # without it the system may delay a final response, which is lost if the connection is then closed
     # while received data is still unread
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -55,7 +55,7 @@
 
 
 def start_accepting(connection_factory: ConnectionFactory, sock: socket.socket) -> AcceptLoop:
-    """Accept connections at a bound socket, which the loop owns; raises ConfigError if that fails."""
+    """Accept connections on a bound socket, owned by the returned loop; raises ConfigError on failure."""
     address = sock.getsockname()
     try:
         sock.listen(LISTEN_BACKLOG)
@@ -67,7 +67,7 @@
 
 
 def duplicate_sockets(sockets: Sequence[socket.socket]) -> list[socket.socket]:
-    """Return duplicates of all sockets; raises OSError, and leaves none open, if one cannot be had."""
+    """Return duplicates of all sockets; if one cannot be duplicated, closes the others and raises OSError."""
     duplicates: list[socket.socket] = []
     try:
         for sock in sockets:
@@ -82,14 +82,14 @@
 class ClientListener:
     """Accepts clients, and datagrams from peers, while it is open.
 
-    It opens on duplicates of the bound sockets, so that the sockets themselves stay with the process: it can
-    open again after it was closed, and pass the sockets on to a successor.
+    It listens on duplicates of the bound sockets; the process keeps the originals, so it can reopen the
+    listener after closing it, and pass the sockets to a successor.
     """
 
     def __init__(
         self, sockets: Sequence[socket.socket], connection_factory: ConnectionFactory, peer_socket: PeerSocket
     ) -> None:
-        """Take the clients' socket, and after it the peers' if there is one."""
+        """`sockets` contains the client socket, followed by the peer socket if there is one."""
         self._sockets = sockets
         self._connection_factory = connection_factory
         self._peer_socket = peer_socket
@@ -98,13 +98,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether clients are accepted here."""
+        """Whether this process is accepting clients."""
         return self._accept_loop is not None
 
     def open(self) -> None:
-        """Accept clients and datagrams from now on; raises OSError or ConfigError if that fails.
+        """Start accepting clients and datagrams; raises OSError or ConfigError on failure.
 
-        Nothing else runs between the first descriptor that this takes and the last one.
+        All descriptors are opened without yielding to the event loop in between.
         """
         client_socket, *datagram_sockets = duplicate_sockets(self._sockets)
         try:
@@ -122,11 +122,11 @@
         loop = asyncio.get_running_loop()
         try:
             await loop.create_datagram_endpoint(lambda: self._peer_socket, sock=sock)
-        except OSError:  # datagrams are lost, as they may be at any time
+        except OSError:  # datagrams are lost, which is allowed at any time
             sock.close()
 
     def close(self) -> None:
-        """Accept nothing more; what waits in a socket's queue is left to a process that shares the socket."""
+        """Stop accepting; pending connections are left to a process that shares the socket."""
         if self._accept_loop:
             self._accept_loop.close()
             self._accept_loop = None
--- a/limerudder/net/log.py
+++ b/limerudder/net/log.py
@@ -1,8 +1,8 @@
-"""Log events on standard error: each passes a chain of processors, the last of which renders its line.
+"""Logs events to standard error through a chain of processors, the last of which renders the line.
 
-The processors have structlog's signature, so that the same ones run in a structlog pipeline where the
-operator's file configures the log. Without that file they are called directly: importing structlog would
-cost a node 6 MB of memory and some 80 ms at start-up.
+The processors have structlog's signature, so that they also run in a structlog pipeline if the operator's
+file configures the log. Without that file they are called directly: importing structlog costs a node 6 MB of
+memory and about 80 ms at start-up.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from limerudder.core.operations.log_events import LogKind
 from limerudder.net.log_writer import LogWriter
 
-MAX_LINES_PER_WINDOW = 5  #: of one kind and detail
+MAX_LINES_PER_WINDOW = 5  #: Maximum number of lines per kind and detail in a window
 WINDOW_SECONDS = 10.0
-MAX_DETAILS_PER_WINDOW = 20  #: of one kind, that get their full number of lines
-MAX_WINDOWS = 1024  #: kept at a time; details may be as many as there are hosts
+MAX_DETAILS_PER_WINDOW = 20  #: Number of details of one kind that can each log their full number of lines
+MAX_WINDOWS = 1024  #: Maximum number of windows in memory; there can be as many details as hosts
 JSON_FORMAT = "json"
 TEXT_FORMAT = "text"
 
-EventDict = MutableMapping[str, Any]  #: structlog's form of an event
+EventDict = MutableMapping[str, Any]  #: An event as structlog represents it
 Renderer = Callable[[Any, str, EventDict], str]
 
 
 class LogWindow:
-    """The events of one kind since a moment of the monotonic clock."""
+    """Number of events of one kind since a start time on the monotonic clock."""
 
     def __init__(self, started_at_seconds: float, event_count: int) -> None:
         self.started_at_seconds = started_at_seconds
@@ -35,24 +35,24 @@
 
 
 class LogRateLimiter:
-    """Passes at most `max_lines` events of a kind and detail in a window, and a multiple of that of a kind.
+    """Limits events per window: `max_lines` per kind and detail, and a multiple of that per kind.
 
-    The first event of the next window tells in its field `left_out` how many were dropped.
+    The first event of the next window reports the number of dropped events in its field `left_out`.
     """
 
     def __init__(self, max_lines: int = MAX_LINES_PER_WINDOW, window_seconds: float = WINDOW_SECONDS) -> None:
         self.max_lines = max_lines
         self.window_seconds = window_seconds
-        self.windows: dict[Hashable, LogWindow] = {}  # by kind and detail
+        self.windows: dict[Hashable, LogWindow] = {}  # key: kind and detail
         self.windows_by_kind: dict[Hashable, LogWindow] = {}
 
     def __call__(self, logger: Any, method: str, event: EventDict) -> EventDict | None:
-        """Return the event, or None if it is to be dropped; a structlog processor but for the None."""
+        """Return the event, or None to drop it; a structlog processor except for the None."""
         key = event.pop("kind")
         if key not in self.windows and len(self.windows) >= MAX_WINDOWS:
-            del self.windows[next(iter(self.windows))]  # the first one, and with it what it would have told
+            del self.windows[next(iter(self.windows))]  # the oldest one; its count of dropped events is lost
         is_within_limit = self._count(self.windows, key, self.max_lines, event)
-        if isinstance(key, tuple):  # a kind and its detail
+        if isinstance(key, tuple):  # kind and detail
             kind, _ = key
             max_lines_of_kind = self.max_lines * MAX_DETAILS_PER_WINDOW
             is_within_limit = is_within_limit and self._count(
@@ -63,7 +63,7 @@
     def _count(
         self, windows: dict[Hashable, LogWindow], key: Hashable, max_lines: int, event: EventDict
     ) -> bool:
-        """Count the event in the key's window; return whether it is among the first `max_lines` there."""
+        """Count the event in the window of `key`; return whether it is among the first `max_lines`."""
         now_seconds = time.monotonic()
         window = windows.setdefault(key, LogWindow(now_seconds, 0))
         if now_seconds >= window.started_at_seconds + self.window_seconds:
@@ -92,16 +92,16 @@
 
 
 class LineLogger:
-    """The end of a structlog pipeline: writes what has been rendered."""
+    """The last step of a structlog pipeline: writes rendered lines."""
 
     def __init__(self, writer: LogWriter) -> None:
         self.info = self.warning = self.error = writer.write
 
 
 class Log:
-    """Writes events: the LogSink of a process. Events of one kind with equal details share a rate limit.
+    """The LogSink of a process. Events of one kind with equal details share a rate limit.
 
-    Logging never waits and never raises: what standard error does not take is dropped.
+    Logging never blocks and never raises: lines that cannot be written to standard error are dropped.
     """
 
     def __init__(
@@ -125,13 +125,13 @@
         self._write(level, fields | {"kind": (kind, detail)})
 
     def configure(self, log_format: str, max_lines: int, window_seconds: float) -> None:
-        """Change the format and the rate limit from now on; what has been counted stays."""
+        """Change the format and the rate limit; existing counts are kept."""
         self._render = _renderer(log_format)
         self.rate_limiter.max_lines = max_lines
         self.rate_limiter.window_seconds = window_seconds
 
     def use_structlog(self) -> None:
-        """Run the same processors in a structlog pipeline from now on."""
+        """Switch to running the same processors in a structlog pipeline."""
         import structlog
 
         def limit(logger: Any, method: str, event: EventDict) -> EventDict:
--- a/limerudder/net/log_writer.py
+++ b/limerudder/net/log_writer.py
@@ -1,10 +1,10 @@
-"""Writes lines to standard error without ever waiting for it, and without ever failing.
+"""Writes lines to standard error without blocking and without raising.
 
-A log is for reading, and a node must serve while nobody reads it: a line for which there is no room now, or
-whose write fails in any other way, is dropped and counted.
+A node must keep serving while nobody reads its log: a line that cannot be written immediately, or whose write
+fails in any other way, is dropped and counted.
 
-A pipe is opened anew, so that this process alone does not block on it: standard error may be shared with
-processes that expect it to block.
+A pipe is reopened in non-blocking mode for this process alone: standard error may be shared with processes
+that expect it to block.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from contextlib import suppress
 
 STANDARD_ERROR = 2
-#: What a pipe or terminal that polls as writable takes at once (PIPE_BUF of Linux).
+#: Number of bytes that a pipe or terminal that polls as writable accepts at once (PIPE_BUF on Linux).
 MAX_WRITE_BYTES = 4096
 LINE_END = b"\n"
 
 
 class LogWriter:
-    """Writes whole lines to one descriptor, or drops them."""
+    """Writes complete lines to one descriptor, or drops them."""
 
     def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
-        self.lines_dropped = 0  #: since the last line that was written
+        self.lines_dropped = 0  #: Number of lines dropped since the last line written
         self._descriptor = descriptor
-        self._mode = 0  # of the descriptor's file; 0 where there is none
-        self._own_pipe: int | None = None  # the pipe, opened anew; None for other files
-        self._unfinished = b""  # the rest of a line of which a part was written
+        self._mode = 0  # file mode of the descriptor; 0 if it is closed
+        self._reopened_pipe: int | None = None  # None for other files than a pipe
+        self._line_remainder = b""  # the unwritten rest of a partly written line
         with suppress(OSError):
             self._mode = os.fstat(descriptor).st_mode
 
     def write(self, text: str) -> None:
-        """Write one line; its end is added."""
+        """Write one line; the line end is added."""
         line = text.encode("utf-8", "backslashreplace") + LINE_END
-        if self._unfinished and not self._write_unfinished():
+        if self._line_remainder and not self._write_remainder():
             self.lines_dropped += 1
             return
         if self.lines_dropped:
@@ -48,17 +48,17 @@
             self.lines_dropped += 1
             return
         self.lines_dropped = 0
-        self._unfinished = line[written_bytes:]
+        self._line_remainder = line[written_bytes:]
 
-    def _write_unfinished(self) -> bool:
-        """Write the rest of a line, so that the next one begins on its own; return whether it is through."""
-        written_bytes = self._write_some(self._unfinished)
-        self._unfinished = self._unfinished[written_bytes:]
-        return not self._unfinished
+    def _write_remainder(self) -> bool:
+        """Write the rest of a line before the next one starts; return whether all of it was written."""
+        written_bytes = self._write_some(self._line_remainder)
+        self._line_remainder = self._line_remainder[written_bytes:]
+        return not self._line_remainder
 
     def _write_some(self, data: bytes) -> int:
-        """Return how many bytes could be written without waiting; 0 after an error."""
-        if not self._mode:  # was closed at the start; the number may be another file's by now
+        """Write without blocking; return the number of bytes written, 0 after an error."""
+        if not self._mode:  # was closed at start-up; the number may have been reused since
             return 0
         try:
             if stat.S_ISSOCK(self._mode):
@@ -70,7 +70,7 @@
             return self._write_if_writable(data)
         except BlockingIOError:
             return 0
-        except (OSError, ValueError):  # full, broken or closed
+        except (OSError, ValueError):  # device full, broken pipe or closed descriptor
             self._close_pipe()
             return 0
 
@@ -78,9 +78,9 @@
         try:
             pipe = self._open_pipe()
         except OSError as exc:
-            if exc.errno == errno.ENXIO:  # nobody has the pipe open to read
+            if exc.errno == errno.ENXIO:  # the pipe has no reader
                 return 0
-            return self._write_if_writable(data)  # no descriptor left, or no /proc
+            return self._write_if_writable(data)  # descriptor limit reached, or no /proc
         return os.write(pipe, data[:MAX_WRITE_BYTES])
 
     def _write_if_writable(self, data: bytes) -> int:
@@ -97,23 +97,23 @@
             sock.detach()
 
     def _open_pipe(self) -> int:
-        if self._own_pipe is None:
+        if self._reopened_pipe is None:
             path = f"/proc/self/fd/{self._descriptor}"
-            self._own_pipe = os.open(path, os.O_WRONLY | os.O_NONBLOCK | os.O_CLOEXEC)
-        return self._own_pipe
+            self._reopened_pipe = os.open(path, os.O_WRONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+        return self._reopened_pipe
 
     def _close_pipe(self) -> None:
-        """Close the pipe that was opened anew: the next line tries it again."""
-        if self._own_pipe is not None:
+        """Close the reopened pipe; the next line opens it again."""
+        if self._reopened_pipe is not None:
             with suppress(OSError):
-                os.close(self._own_pipe)
-            self._own_pipe = None
+                os.close(self._reopened_pipe)
+            self._reopened_pipe = None
 
 
 class LineStream(io.TextIOBase):
-    """A text stream over a LogWriter, to stand in for `sys.stderr`.
+    """A text stream on a LogWriter that replaces `sys.stderr`.
 
-    The interpreter and libraries print there by themselves, and would wait for standard error or raise.
+    The interpreter and libraries print to `sys.stderr`, and could block or raise on the original stream.
     """
 
     def __init__(self, writer: LogWriter) -> None:
@@ -121,11 +121,11 @@
         self._partial_line = ""
 
     def writable(self) -> bool:
-        """Return that text can be written."""
+        """Return True: the stream accepts text."""
         return True
 
     def write(self, text: str) -> int:
-        """Write the lines that end in this text; the rest waits for its end."""
+        """Write the lines completed by this text; a partial line is buffered."""
         *lines, self._partial_line = (self._partial_line + text).split("\n")
         for line in lines:
             self._writer.write(line)
--- a/limerudder/net/mark_files.py
+++ b/limerudder/net/mark_files.py
@@ -1,7 +1,7 @@
-"""Maintenance marks as empty files in the state directory, which every process of a node sees.
+"""Maintenance marks as empty files in the state directory, visible to every process of a node.
 
-A file is created and removed in one system call, so that no process ever sees half a mark. The file names
-are a stored form.
+A file is created or removed in one system call, so no process sees a partial mark. The file names are a
+persistent format.
 """
 
 from __future__ import annotations
--- a/limerudder/net/node_network.py
+++ b/limerudder/net/node_network.py
@@ -1,4 +1,4 @@
-"""A node's way out to other parties: connections and datagrams."""
+"""A node's outgoing connections and datagrams."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class NodeNetwork:
-    """The Network of a node, on real sockets."""
+    """Implements a node's Network on real sockets."""
 
     def __init__(self, connector: TcpConnector) -> None:
         self._connector = connector
-        self.peer_socket: PeerSocket | None = None  # set once there is one; datagrams are dropped until then
+        self.peer_socket: PeerSocket | None = None  # datagrams are dropped until it is set
 
     def dial(self, address: Address, machine: OutboundMachine) -> TcpConnection:
-        """Start to connect."""
+        """Start connecting to an address."""
         return self._connector.dial(address, machine)
 
     def send_datagram(self, peer: int, data: bytes) -> None:
--- a/limerudder/net/shortage.py
+++ b/limerudder/net/shortage.py
@@ -1,7 +1,7 @@
-"""Errors of system calls that pass: this process, or its machine, is short of something for a while.
+"""Transient errors of system calls: this process or its machine is temporarily out of a resource.
 
-Such an error says nothing of the other side of a connection or of the configuration, and is a reason to try
-again and never one to end. Errors as documented for Linux in socket(2), connect(2), bind(2), open(2).
+Such an error says nothing about the remote side of a connection or about the configuration. It leads to a
+retry, never to an exit. The errors are those documented for Linux in socket(2), connect(2), bind(2), open(2).
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
         errno.EADDRNOTAVAIL,
     }
 )
-START_RETRY_SECONDS = 20.0  #: for which a start is tried again; nodes have 30 s to be ready
-#: A killed process may hold its addresses a moment longer; for longer somebody else has them.
+START_RETRY_SECONDS = 20.0  #: Time for which a start is retried; nodes have 30 s to become ready
+#: A killed process may briefly keep its addresses bound; after this time another process owns them.
 ADDRESS_RETRY_SECONDS = 3.0
 
 
@@ -35,7 +35,7 @@
 
 
 def start_retry_seconds(error: BaseException) -> float:
-    """Return for how long a start that fails with this error is to be tried again; 0 if it is not."""
+    """Return for how long a start that failed with this error is to be retried; 0 means no retry."""
     if is_shortage(error):
         return START_RETRY_SECONDS
     if any(isinstance(cause, OSError) and cause.errno == errno.EADDRINUSE for cause in _causes(error)):
--- a/limerudder/net/socket_handover.py
+++ b/limerudder/net/socket_handover.py
@@ -1,4 +1,4 @@
-"""Passes listening sockets from a serving process to its successor, through a Unix socket file."""
+"""Passes listening sockets from the serving process to its successor over a Unix socket."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from limerudder.net.tcp import TcpConnection
 
 SOCKET_FILE_NAME = "handover"
-#: For the next piece of a serving process's answer, and for all of it; one that hangs delays no longer.
+#: Timeout for the next part of the serving process's answer; limits the delay if that process hangs.
 ANSWER_TIMEOUT_SECONDS = 1.0
-STATE_LINE_TIMEOUT_SECONDS = 3.0
-PUBLISH_RETRY_SECONDS = 1.0  #: after a failure to create the socket file
-ACCEPT_RETRY_SECONDS = 0.02  #: after a failure to accept, which would come again at once
+STATE_LINE_TIMEOUT_SECONDS = 3.0  #: Timeout for the complete answer
+PUBLISH_RETRY_SECONDS = 1.0  #: Delay after a failure to create the socket file
+ACCEPT_RETRY_SECONDS = 0.02  #: Delay after a failed accept, which would fail again immediately
 MAX_PASSED_SOCKETS = 4
 RECEIVE_BYTES = 64 * 1024
 
 
 class StateDirectory:
-    """The directory that outlives a process of the node; it stays open as long as the process runs."""
+    """Directory that persists across processes of the node; kept open while the process runs."""
 
     def __init__(self, path: str) -> None:
-        """Create the directory if it is not there; raises OSError if it cannot be used."""
+        """Create the directory if it does not exist; raises OSError if it cannot be used."""
         os.makedirs(path, mode=0o700, exist_ok=True)
         self.path = path
         self.descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
 
     def socket_path(self, file_name: str) -> str:
-        """Return a short path to a Unix socket here: the system limits one to 108 bytes."""
+        """Return a short path to a Unix socket in this directory; the system limits it to 108 bytes."""
         return f"/proc/self/fd/{self.descriptor}/{file_name}"
 
     def close(self) -> None:
@@ -45,11 +45,11 @@
 
 
 class InheritedSockets(NamedTuple):
-    """What the process that serves has passed to its successor."""
+    """Sockets and state received from the serving process."""
 
-    sockets: list[socket.socket]  #: bound to the node's addresses
-    state_line: bytes  #: the parent's first line, with its line end
-    connection: socket.socket  #: to the parent process
+    sockets: list[socket.socket]  #: Sockets bound to the node's addresses
+    state_line: bytes  #: First line from the parent, including the line end
+    connection: socket.socket  #: Connection to the parent process
 
     def close(self) -> None:
         """Close all sockets and the connection."""
@@ -58,9 +58,9 @@
 
 
 def request_handover(directory: StateDirectory) -> InheritedSockets | None:
-    """Ask the process that serves for its sockets; None if there is none.
+    """Request the sockets of the serving process; returns None if there is no such process.
 
-    Raises OSError if there is one that does not answer as it should and in time, or for a shortage here.
+    Raises OSError if it does not answer correctly and in time, or on a resource shortage here.
     """
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     connection.settimeout(ANSWER_TIMEOUT_SECONDS)
@@ -69,13 +69,13 @@
         connection.connect(directory.socket_path(SOCKET_FILE_NAME))
         state_line = _receive_state_line(connection, sockets)
         if not sockets:
-            raise OSError("no sockets came with the state")
-    except (FileNotFoundError, ConnectionRefusedError):  # no socket file, or that of a process that has ended
+            raise OSError("the state was received without sockets")
+    except (FileNotFoundError, ConnectionRefusedError):  # no socket file, or a stale one
         connection.close()
         return None
-    except BlockingIOError:  # no shortage here: that process does not accept
+    except BlockingIOError:  # not a shortage here: the other process is not accepting
         connection.close()
-        raise TimeoutError("its queue of connections is full") from None
+        raise TimeoutError("its listen queue is full") from None
     except OSError:
         for sock in [connection, *sockets]:
             sock.close()
@@ -85,13 +85,13 @@
 
 
 def _receive_state_line(connection: socket.socket, sockets: list[socket.socket]) -> bytes:
-    """Return the parent's first line, and add the sockets that come with it to `sockets`."""
+    """Return the parent's first line, and append the sockets sent with it to `sockets`."""
     deadline = time.monotonic() + STATE_LINE_TIMEOUT_SECONDS
     line = bytearray()
     while not line.endswith(b"\n"):
         seconds_left = deadline - time.monotonic()
         if seconds_left <= 0:
-            raise TimeoutError("the state line did not come in time")
+            raise TimeoutError("timed out waiting for the state line")
         connection.settimeout(min(seconds_left, ANSWER_TIMEOUT_SECONDS))
         data, descriptors, _, _ = socket.recv_fds(connection, RECEIVE_BYTES, MAX_PASSED_SOCKETS)
         sockets += [socket.socket(fileno=descriptor) for descriptor in descriptors]
@@ -102,7 +102,7 @@
 
 
 class HandoverListener:
-    """Answers processes that connect to the state directory's socket file with this process's sockets."""
+    """Sends this process's sockets to processes that connect to the state directory's socket file."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
         clock: Clock,
         log: LogSink,
     ) -> None:
-        """Send `state_line()` and the sockets first; a machine of the factory drives the rest."""
+        """Each connection starts with `state_line()` and the sockets; a machine then drives it."""
         self._directory = directory
         self._sockets = sockets
         self._state_line = state_line
@@ -127,19 +127,19 @@
         self._accept_retry: asyncio.TimerHandle | None = None
 
     def open(self) -> None:
-        """Answer under the directory's one name from now on, in place of the process that did so before."""
+        """Start listening on the directory's socket file, replacing the previous process there."""
         self.close()
         try:
             self._listening_socket = self._publish()
         except OSError as exc:
-            # the node serves without the socket file; a successor then binds the addresses itself
+            # the node serves without the socket file, and a successor binds the addresses itself
             self._log(LogKind.STATE_DIRECTORY, f"state: cannot offer a handover: {exc.strerror}")
             self._publish_retry = self._loop.call_later(PUBLISH_RETRY_SECONDS, self.open)
             return
         self._listen()
 
     def close(self) -> None:
-        """Answer nobody from now on; connections that are established stay."""
+        """Stop listening; established connections are kept."""
         self.stop_publishing()
         if self._accept_retry:
             self._accept_retry.cancel()
@@ -150,23 +150,23 @@
             self._listening_socket = None
 
     def stop_publishing(self) -> None:
-        """Try no more to create the socket file: another process has the name by now."""
+        """Cancel retries of creating the socket file: by now it belongs to another process."""
         if self._publish_retry:
             self._publish_retry.cancel()
             self._publish_retry = None
 
     def _publish(self) -> socket.socket:
-        """Return a listening socket; its file replaces that of another process in one step."""
-        own_file_name = f"{SOCKET_FILE_NAME}.{os.getpid()}"
+        """Return a listening socket; its file atomically replaces that of another process."""
+        temporary_file_name = f"{SOCKET_FILE_NAME}.{os.getpid()}"
         descriptor = self._directory.descriptor
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             with suppress(OSError):
-                os.unlink(own_file_name, dir_fd=descriptor)
-            sock.bind(self._directory.socket_path(own_file_name))
+                os.unlink(temporary_file_name, dir_fd=descriptor)
+            sock.bind(self._directory.socket_path(temporary_file_name))
             sock.listen()
-            os.rename(own_file_name, SOCKET_FILE_NAME, src_dir_fd=descriptor, dst_dir_fd=descriptor)
+            os.rename(temporary_file_name, SOCKET_FILE_NAME, src_dir_fd=descriptor, dst_dir_fd=descriptor)
         except OSError:
             sock.close()
             raise
@@ -178,7 +178,7 @@
             return
         try:
             self._loop.add_reader(self._listening_socket, self._accept)
-        except OSError:  # no room for one more watched descriptor
+        except OSError:  # the poller cannot register another descriptor
             self._accept_retry = self._loop.call_later(ACCEPT_RETRY_SECONDS, self._listen)
 
     def _accept(self) -> None:
@@ -188,7 +188,7 @@
             connection, _ = self._listening_socket.accept()
         except (BlockingIOError, InterruptedError):
             return
-        except OSError:  # a shortage: whoever connects waits in the socket's queue
+        except OSError:  # a shortage: new connections stay in the listen queue
             self._loop.remove_reader(self._listening_socket)
             self._accept_retry = self._loop.call_later(ACCEPT_RETRY_SECONDS, self._listen)
             return
@@ -204,11 +204,11 @@
             sent_bytes = socket.send_fds(connection, [state_line], descriptors)
             await self._loop.sock_sendall(connection, state_line[sent_bytes:])
             await drive_connection(connection, self._machine_factory(), self._clock)
-        except OSError:  # the other process has ended already
+        except OSError:  # the other process has already exited
             connection.close()
 
 
 async def drive_connection(sock: socket.socket, machine: ConnectionMachine, clock: Clock) -> None:
-    """Drive a state machine with the connection between two processes of a node."""
+    """Drive a state machine over the connection between two processes of a node."""
     loop = asyncio.get_running_loop()
     await loop.create_unix_connection(lambda: TcpConnection(machine, clock), sock=sock)
--- a/limerudder/net/tcp.py
+++ b/limerudder/net/tcp.py
@@ -1,4 +1,4 @@
-"""TCP connections: an asyncio protocol that drives a state machine, and a connector that dials."""
+"""TCP connections: an asyncio protocol that drives a state machine, and a connector for outgoing ones."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from limerudder.net.clock import Clock
 from limerudder.net.shortage import is_shortage
 
-#: Bytes that may wait to be sent before the machine is asked to pause writing.
+#: Maximum number of unsent bytes before the machine has to pause writing.
 WRITE_BUFFER_LIMIT_BYTES = 64 * 1024
-#: The value of SO_LINGER (on, 0 s) that makes a close send a reset instead of a FIN.
+#: SO_LINGER value (on, 0 s) that makes a close send a reset instead of a FIN.
 LINGER_RESET = struct.pack("ii", 1, 0)
 SHORTAGE_RETRY_SECONDS = 0.01
 
 
 class TcpConnection(asyncio.Protocol):
-    """Drives one state machine with one connection; it is the machine's Transport.
+    """Drives one state machine with one connection, and is the machine's Transport.
 
-    It passes events on as they come and decides nothing itself.
+    It forwards events unchanged and makes no decisions.
     """
 
     def __init__(self, machine: ConnectionMachine, clock: Clock) -> None:
-        self.machine: ConnectionMachine | None = machine  # None once it is to hear no more
+        self.machine: ConnectionMachine | None = machine  # None once it must not receive further events
         self.transport: asyncio.Transport | None = None
-        self.dialled_socket: socket.socket | None = None  # of a connection that this node set up
+        self.dialled_socket: socket.socket | None = None  # socket of an outgoing connection
         self.connect_task: asyncio.Task[None] | None = None
         self._clock = clock
-        self._early_data = b""  # written before there was a transport
+        self._early_data = b""  # bytes written before the transport existed
         self._half_closed = False
         self._reading_paused = False
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Pass on that the connection is established, unless it was closed meanwhile."""
+        """Forward that the connection is established, unless it has been closed in the meantime."""
         # cast instead of a check: uvloop's transports do not inherit from asyncio's classes
         self.transport = cast(asyncio.Transport, transport)
         if self.machine is None:
@@ -52,52 +52,52 @@
         self.machine.connection_made(self, self._clock.now_us())
 
     def data_received(self, data: bytes) -> None:
-        """Pass on received bytes."""
+        """Forward received bytes."""
         if self.machine:
             self.machine.data_received(data, self._clock.now_us())
 
     def eof_received(self) -> bool:
-        """Pass on that the other side has ended its sending; returns True to keep the transport open."""
+        """Forward the remote side's end of stream; returns True to keep the transport open."""
         if self.machine:
             self.machine.eof_received(self._clock.now_us())
         return self.machine is not None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass on that the connection is gone."""
+        """Forward that the connection is closed."""
         machine = self.machine
         self.machine = None
         if machine:
             machine.connection_lost(self._clock.now_us())
 
     def pause_writing(self) -> None:
-        """Pass on that the other side reads too slowly."""
+        """Forward that the write buffer is full: the remote side reads too slowly."""
         if self.machine:
             self.machine.set_writing_paused(True)
 
     def resume_writing(self) -> None:
-        """Pass on that the other side has caught up."""
+        """Forward that the write buffer has drained."""
         if self.machine:
             self.machine.set_writing_paused(False)
 
     # Transport
 
     def write(self, data: bytes) -> None:
-        """Send bytes, in order."""
+        """Send bytes in order."""
         if self.transport is None:
             self._early_data += data
         elif not self.transport.is_closing() and not self._half_closed:
             self.transport.write(data)
 
     def half_close(self) -> None:
-        """Send a FIN once all is written."""
+        """Send a FIN once all data has been written."""
         if self.transport and not self._half_closed and not self.transport.is_closing():
             self.transport.write_eof()
         self._half_closed = True
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Pause or resume reading; nothing is done if that is so already."""
-        # resuming without need would make uvloop report a FIN of the other side again, and a client that has
-        # ended its sending would lose its final response
+        """Pause or resume reading; does nothing if the state is unchanged."""
+        # resuming without a pause makes uvloop report a FIN of the remote side again, and a client that has
+        # half-closed its connection would lose its final response
         if paused == self._reading_paused or self.transport is None or self.transport.is_closing():
             return
         self._reading_paused = paused
@@ -107,7 +107,7 @@
             self.transport.resume_reading()
 
     def has_disconnected(self) -> bool:
-        """Return whether the other side's FIN or reset has arrived, also behind bytes not read yet."""
+        """Return whether a FIN or reset has arrived, including one behind unread bytes."""
         if self.transport is None or self.transport.is_closing():
             return True
         poll = select.poll()
@@ -115,20 +115,20 @@
         return bool(poll.poll(0))
 
     def close(self) -> None:
-        """End the connection now; the machine hears no more of it."""
+        """Close the connection immediately; the machine receives no further events."""
         self.machine = None
         if self.connect_task and self.transport is None:
             self.connect_task.cancel()
         if self.dialled_socket:
-            # a transport closes its socket in the event loop's next iteration only; the next attempt of the
-            # same request would start before that, and two attempts of one request would be out
+            # a transport closes its socket only in the next iteration of the event loop; the request's next
+            # attempt could start before that, and two attempts of one request would be active
             with suppress(OSError):
                 self.dialled_socket.shutdown(socket.SHUT_RDWR)
         if self.transport:
             self.transport.abort()
 
     def reset(self) -> None:
-        """End the connection now with a reset; the machine hears no more of it."""
+        """Reset the connection immediately; the machine receives no further events."""
         if self.transport and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -137,12 +137,12 @@
 
 
 class TcpConnector:
-    """Sets up connections to other parties."""
+    """Opens outgoing connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self.loop = loop
         self._clock = clock
-        #: Called with the address and the error of a dial that failed for a shortage on this side.
+        #: Called with the address and the error of a dial that failed because of a local resource shortage.
         self.on_local_failure: Callable[[Address, OSError], None] = lambda address, error: None
 
     def dial(self, address: Address, machine: OutboundMachine) -> TcpConnection:
@@ -152,18 +152,18 @@
         return connection
 
     async def _connect(self, address: Address, machine: OutboundMachine, connection: TcpConnection) -> None:
-        """Set the connection up, or tell the machine that it is lost."""
+        """Set up the connection, or notify the machine that it is lost."""
         sock = None
         try:
             sock = await self._open_socket(address, connection)
-            # written here and not by the transport, which does not report when the last byte has been sent
+            # written here because the transport does not report when the last byte has been sent
             first_bytes = machine.first_bytes(self._clock.now_us())
-            if connection.machine is None:  # the machine has closed it: nobody needs it any more
+            if connection.machine is None:  # the machine has closed it: no longer needed
                 raise ConnectionAbortedError
             await self.loop.sock_sendall(sock, first_bytes)
             machine.first_bytes_sent(self._clock.now_us())
             await self.loop.create_connection(lambda: connection, sock=sock)
-        except (OSError, asyncio.CancelledError):  # refused, unreachable, or closed
+        except (OSError, asyncio.CancelledError):  # refused, unreachable or closed
             connection.dialled_socket = None
             if sock:
                 sock.close()
@@ -172,10 +172,10 @@
                 machine.connection_lost(self._clock.now_us())
 
     async def _open_socket(self, address: Address, connection: TcpConnection) -> socket.socket:
-        """Return a connected socket; raises OSError for what the other side, or the way to it, refuses.
+        """Return a connected socket; raises OSError if the remote side or the network refuses the connection.
 
-        A shortage on this side says nothing of the other one: the dial is tried again until whoever asked for
-        it closes the connection.
+        A local shortage says nothing about the remote side: the dial is retried until the caller closes the
+        connection.
         """
         while True:
             try:
--- a/limerudder/node_process.py
+++ b/limerudder/node_process.py
@@ -1,4 +1,4 @@
-"""One process of a node: start-up, service until it has been stopped, and shutdown."""
+"""One process of a node: start-up, service until a stop signal, and shutdown."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from limerudder.core.operations.log_events import LogKind, LogSink
 from limerudder.core.operations.maintenance import InMemoryMarks, MaintenanceMarks
 from limerudder.net.clock import Clock
-from limerudder.net.error_reports import ErrorReports
+from limerudder.net.error_reports import ErrorReporter
 from limerudder.net.listener import ClientListener, bind_socket, start_accepting
 from limerudder.net.mark_files import MarkFiles
 from limerudder.net.node_network import NodeNetwork
@@ -35,32 +35,32 @@
 from limerudder.store_runtime import ConfigureLog, StoreRuntime
 
 MICROSECONDS_PER_SECOND = 1e6
-RETRY_SECONDS = 0.05  #: after a shortage, which as a rule lasts a moment
+RETRY_SECONDS = 0.05  #: Retry delay after a resource shortage, which is usually brief
 
 
-def keep_log_settings(log_format: str, max_lines: int, window_seconds: float) -> None:
-    """Ignore log settings from the store, for a log that cannot be configured."""
+def ignore_log_settings(log_format: str, max_lines: int, window_seconds: float) -> None:
+    """Ignore log settings from the store; for a log that cannot be configured."""
 
 
 async def run_node(
     config: ProcessConfig,
     log: LogSink,
     environment: Mapping[str, str],
-    configure_log: ConfigureLog = keep_log_settings,
+    configure_log: ConfigureLog = ignore_log_settings,
     signals: StartupSignals | None = None,
     on_started: Callable[[], None] = lambda: None,
 ) -> None:
-    """Run a node until a signal has stopped it; raises ConfigError or OSError if it cannot start.
+    """Run a node until a signal stops it; raises ConfigError or OSError if it cannot start.
 
-    `environment` names the configuration file, which SIGHUP has read again. `signals` tells what came before.
-    `on_started` is called when the start is through: errors before it leave nothing behind.
+    `environment` names the configuration file, which SIGHUP reloads. `signals` has recorded the signals
+    received so far. `on_started` is called when the start is complete; errors before that leave nothing open.
     """
     signals = signals or StartupSignals()
     process = NodeProcess(config, log, environment, configure_log, signals)
     try:
         await process.start()
     except BaseException:
-        signals.hold()
+        signals.block()
         process.abandon()
         raise
     on_started()
@@ -68,7 +68,7 @@
 
 
 class NodeProcess:
-    """Builds a node with all that it needs, and runs it. To be created within the running event loop."""
+    """Builds a node and its environment, and runs it. Must be created in the running event loop."""
 
     def __init__(
         self,
@@ -78,9 +78,9 @@
         configure_log: ConfigureLog,
         signals: StartupSignals,
     ) -> None:
-        """Take over from the process that serves this node, if there is one, and build the node.
+        """Take over from the process serving this node, if there is one, and build the node.
 
-        What was opened is closed again if that fails.
+        On failure, everything opened is closed again.
         """
         self._log = log
         self._signals = signals
@@ -88,10 +88,10 @@
         self._loop = asyncio.get_running_loop()
         self._clock = Clock()
         self._stopped = asyncio.Event()
-        self._successor: HotRestartSuccessor | None = None  # this process's side, if it takes over
+        self._successor: HotRestartSuccessor | None = None  # set if this process takes over from a parent
         self._tick_timer: asyncio.TimerHandle | None = None
         self._serve_retry: asyncio.TimerHandle | None = None
-        self._resources = ExitStack()  # closes what has been opened, the last first
+        self._resources = ExitStack()  # closes opened resources in reverse order
         self._store = StoreRuntime(config, log, self._clock, configure_log)
         self._resources.callback(self._store.close)
         try:
@@ -102,7 +102,7 @@
             raise
 
     def _open_resources(self, config: ProcessConfig) -> None:
-        """Open what outlives this process, and the node's sockets."""
+        """Open the state directory, the store and the node's sockets."""
         self._state_directory = open_state_directory(config, self._log)
         if self._state_directory:
             self._resources.callback(self._state_directory.close)
@@ -120,10 +120,10 @@
         connector = TcpConnector(self._loop, self._clock)
         self._network = NodeNetwork(connector)
         self._node = self._create_node()
-        self._error_reports = ErrorReports(self._node.counters, self._log)
-        connector.on_local_failure = self._error_reports.failed_dial
-        self._loop.set_exception_handler(self._error_reports.loop_failure)
-        self._node.set_error_handler(self._error_reports.defect)
+        self._error_reporter = ErrorReporter(self._node.counters, self._log)
+        connector.on_local_failure = self._error_reporter.report_failed_dial
+        self._loop.set_exception_handler(self._error_reporter.report_loop_exception)
+        self._node.set_error_handler(self._error_reporter.report_exception)
         self._peer_socket = self._create_peer_socket()
         self._listener = ClientListener(self._sockets, self._create_client_connection, self._peer_socket)
         self._parent = create_parent(self._node, self._stop_accepting, self._serve_when_possible)
@@ -131,11 +131,11 @@
         self._console = ConsoleCalls(self._node, self._listener, self._store).create_console()
 
     async def start(self) -> None:
-        """Begin to serve, or to prepare for it beside the process that serves.
+        """Start serving, or prepare to serve while the parent process still serves.
 
         Raises ConfigError or OSError.
         """
-        # before anything listens: a signal without its handler would end the process and all that it holds
+        # before any listener opens: an unhandled signal would end the process with all its connections
         self._install_signal_handlers()
         self._open_console()
         self._node.load_endpoints(self._clock.now_us())
@@ -149,14 +149,14 @@
             self._on_reload_signal()
 
     async def run(self) -> None:
-        """Serve until a signal has stopped the node."""
+        """Serve until a signal stops the node."""
         self._tick()
         gc.freeze()
         await self._stopped.wait()
         try:
             self._shut_down()
-        except Exception as exc:  # all clients have their answers: the process ends as it should
-            self._error_reports.defect(exc)
+        except Exception as exc:  # all clients have been answered; the process still exits normally
+            self._error_reporter.report_exception(exc)
 
     # start-up
 
@@ -166,18 +166,18 @@
         return inherit_from_parent(self._state_directory, self._log)
 
     def _complete_config(self, config: ProcessConfig) -> ProcessConfig:
-        """Return the configuration with the newer values of the parent process, or else of the store."""
+        """Return the configuration with newer values from the parent process, or otherwise from the store."""
         if self._inheritance is None:
-            return self._store.open(config)  # a parent would still have the store's directory open
+            return self._store.open(config)  # with a parent, the store's directory would still be in use
         state = self._inheritance.state
         discovery = config.discovery
         if state.config_reloaded:
-            # SIGHUP has overruled the environment at the parent, and the environment has not changed since
+            # SIGHUP has overridden the environment in the parent, and the environment has not changed since
             discovery = reload_config(self._environment).discovery
         return replace(config, known=state.endpoints, discovery=discovery)
 
     def _create_marks(self) -> MaintenanceMarks:
-        """Return the marks of maintenance; raises OSError for a shortage that hides them for now."""
+        """Return the maintenance marks; raises OSError if a shortage prevents reading them for now."""
         if self._state_directory is None:
             return InMemoryMarks()
         marks = MarkFiles(self._state_directory.path)
@@ -233,25 +233,25 @@
             self._resources.callback(console_server.close)
 
     async def _join_parent(self, inheritance: Inheritance) -> None:
-        """Prepare to serve; the hot restart's messages decide when to begin."""
+        """Prepare to serve; messages of the hot restart determine when to start."""
         self._successor = create_successor(
             self._node,
             inheritance.state,
             self._clock.now_us(),
             start_serving=self._serve_when_possible,
-            # the store's directory is the parent's until the parent has ended
+            # the parent owns the store's directory until it exits
             parent_ended=lambda: self._store.start_takeover(self._node, self._marks, self._announce_drain),
         )
         try:
             await drive_connection(inheritance.connection, self._successor, self._clock)
-        except OSError:  # the parent has ended already
+        except OSError:  # the parent has already exited
             inheritance.connection.close()
             self._successor.connection_lost(self._clock.now_us())
 
     # service
 
     def _serve_when_possible(self) -> None:
-        """Serve as a successor, or again after a successor has ended; later, where something is short."""
+        """Start serving as a successor, or again after a successor exits; retry on a resource shortage."""
         self._serve_retry = None
         try:
             self._serve()
@@ -268,7 +268,7 @@
         self._listener.close()
 
     def _serve(self) -> None:
-        """Accept clients here, and hand over to whichever process asks."""
+        """Accept clients, and hand over to any process that requests it."""
         self._listener.open()
         if self._handover_listener:
             self._handover_listener.open()
@@ -293,11 +293,11 @@
         self._loop.add_signal_handler(signal.SIGUSR1, self._log_counters, LogKind.COUNTERS)
 
     def _on_stop_signal(self, number: signal.Signals) -> None:
-        # a process that was stopped ends with exit code 0: only this line tells which signal ended it
+        # a stopped process exits with code 0, so only this line shows which signal stopped it
         self._log(LogKind.STOPPING, f"node: {number.name} received")
         self._signals.stop_requested = True
         if not self._listener.is_open and not self._node.has_successor:
-            self._stopped.set()  # it has not begun to serve
+            self._stopped.set()  # it has not started serving
         self._parent.announce(ParentStopping())
         self._node.start_graceful_shutdown(self._clock.now_us())
 
@@ -305,7 +305,7 @@
         self._signals.reload_requested = True
         try:
             config = reload_config(self._environment)
-        except ConfigError as exc:  # the node serves on with what it has
+        except ConfigError as exc:  # the node continues with its current configuration
             if is_shortage(exc):
                 self._loop.call_later(RETRY_SECONDS, self._on_reload_signal)
             self._log(LogKind.CONFIG, f"config: {exc}; keeping the previous configuration")
@@ -320,7 +320,7 @@
     # shutdown
 
     def _shut_down(self) -> None:
-        """Close the store and the listeners, then what belongs to the process alone."""
+        """Close the store and the listeners, then the other resources of the process."""
         self._node.check_all_answered()
         self._store.close()
         self._stop_accepting()
@@ -330,6 +330,6 @@
         self._resources.close()
 
     def abandon(self) -> None:
-        """Close what was opened by a start that has failed."""
+        """Close everything opened by a failed start."""
         self._stop_accepting()
         self._resources.close()
--- a/limerudder/process_startup.py
+++ b/limerudder/process_startup.py
@@ -1,4 +1,4 @@
-"""What a process of a node starts with: its state directory, its sockets, and its parent's state."""
+"""Start-up of a node process: its state directory, its sockets, and its parent's state."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class Inheritance(NamedTuple):
-    """What a successor gets from its parent process."""
+    """State and sockets that a successor inherits from its parent process."""
 
     state: HandoverState
     sockets: list[socket.socket]
-    connection: socket.socket  #: to the parent
+    connection: socket.socket  #: Connection to the parent
 
 
 def open_state_directory(config: ProcessConfig, log: LogSink) -> StateDirectory | None:
-    """Open the directory that outlives this process; None if there is to be none, or it cannot be used.
+    """Open the state directory; returns None if none is configured or it cannot be used.
 
-    Raises OSError for a shortage, which passes.
+    Raises OSError on a resource shortage, which is transient.
     """
     if config.state is None:
         return None
@@ -41,9 +41,9 @@
 
 
 def inherit_from_parent(directory: StateDirectory, log: LogSink) -> Inheritance | None:
-    """Take over from the process that serves; None if there is none, or its state cannot be read.
+    """Take over from the serving process; returns None if there is none or its state cannot be read.
 
-    Raises OSError for a shortage, which passes.
+    Raises OSError on a resource shortage, which is transient.
     """
     try:
         inherited = request_handover(directory)
@@ -57,7 +57,7 @@
     try:
         state = parse_handover_state(inherited.state_line)
     except HandoverFormatError as exc:
-        # the parent may be of another release: this process starts without it, on sockets of its own
+        # the parent may be another release: this process starts without it and binds its own sockets
         log(LogKind.STATE_DIRECTORY, f"state: {exc}")
         inherited.close()
         return None
@@ -65,7 +65,7 @@
 
 
 def bind_sockets(config: ProcessConfig) -> list[socket.socket]:
-    """Bind the clients' socket, and after it the peers' if there is one; raises ConfigError."""
+    """Bind the client socket, then the peer socket if configured; raises ConfigError."""
     sockets = [bind_socket(config.listen, socket.SOCK_STREAM, reuse_port=True)]
     if config.settings.allows_peer_messages and config.peer_listen:
         sockets.append(bind_socket(config.peer_listen, socket.SOCK_DGRAM, reuse_port=True))
--- a/limerudder/schema.py
+++ b/limerudder/schema.py
@@ -1,6 +1,6 @@
-"""The operator's file: its schema, in its own language, and the frozen objects it becomes.
+"""The operator's file: its schema in CUE, and the frozen objects that it is converted to.
 
-Everything in it is optional: without a file, or with an empty one, a node is what it is without.
+Everything in it is optional: an empty file has the same effect as no file.
 """
 
 from __future__ import annotations
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSettings:
-    """How the log is written."""
+    """Log settings."""
 
     format: str = "text"
     lines: int = 5
-    per: int = 10_000_000  # microseconds
+    per: int = 10_000_000  # window length in microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """The replicated store of a node. Times in microseconds, sizes in bytes."""
+    """Settings of a node's replicated store; times in microseconds, sizes in bytes."""
 
     folder: str
     listen: Address
@@ -69,16 +69,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """All that the operator's file says."""
+    """Content of the operator's file."""
 
     log: LogSettings = field(default_factory=LogSettings)
     store: StoreSettings | None = None
 
 
 def read_operator_file(text: str | bytes, file: str) -> OperatorFile:
-    """The operator's file as objects; CueError with every error of it."""
-    given = load(text, file, SCHEMA, "#File")
-    store = given.get("store")
+    """Parse the operator's file; raises CueError that lists all errors in it."""
+    content = load(text, file, SCHEMA, "#File")
+    store = content.get("store")
     if store:
         store = StoreSettings(**{**store, "listen": parse_address(store["listen"])})
-    return OperatorFile(LogSettings(**given["log"]), store)
+    return OperatorFile(LogSettings(**content["log"]), store)
--- a/limerudder/startup_signals.py
+++ b/limerudder/startup_signals.py
@@ -1,10 +1,11 @@
-"""Signals that come while a node's process starts, before its event loop handles them.
+"""Handles signals during start-up of a node process, before its event loop does.
 
-By default each of them would end the process. A stop ends it at once with exit code 0: it holds nothing yet.
-A reload is remembered until the node can carry it out. The counters that SIGUSR1 asks for do not exist yet.
+By default each of them would end the process. A stop signal exits immediately with code 0, since there is
+nothing to clean up yet. A reload is recorded until the node can perform it. SIGUSR1 is ignored, since there
+are no counters to print yet.
 
-The module imports next to nothing, so that the handlers are in place before the rest of the node is loaded.
-What comes before even that is ignored by the command of the deploy file.
+The module imports very little, so that the handlers are installed before the rest of the node is loaded.
+Signals that arrive even earlier are ignored by the command in the deploy file.
 """
 
 from __future__ import annotations
@@ -18,28 +19,28 @@
 
 
 class StartupSignals:
-    """Handles signals until the event loop does."""
+    """Handles signals until the event loop takes over."""
 
     def __init__(self) -> None:
         self._is_installed = False
         self.reload_requested = False
-        self.stop_requested = False  #: set by the event loop's handler, for a start that fails after it
+        self.stop_requested = False  #: Set by the event loop's handler, in case the start fails afterwards
 
     def install(self) -> None:
-        """Handle signals here from now on."""
+        """Install the handlers and unblock the signals."""
         for number in STOP_SIGNALS:
             signal.signal(number, _exit)
-        signal.signal(signal.SIGHUP, self._remember_reload)
+        signal.signal(signal.SIGHUP, self._record_reload)
         signal.signal(signal.SIGUSR1, signal.SIG_IGN)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
         self._is_installed = True
 
-    def hold(self) -> None:
-        """Let signals wait until they are handled here again: an event loop that ends leaves them to none."""
+    def block(self) -> None:
+        """Block signals until the next install(): a closing event loop removes its handlers."""
         if self._is_installed:
             signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
-    def _remember_reload(self, number: int, frame: FrameType | None) -> None:
+    def _record_reload(self, number: int, frame: FrameType | None) -> None:
         self.reload_requested = True
 
 
--- a/limerudder/store_runtime.py
+++ b/limerudder/store_runtime.py
@@ -1,6 +1,6 @@
-"""A node's store, if the operator's file asks for one.
+"""Runs a node's store, if the operator's file configures one.
 
-Without one all methods do nothing, and none of the store's modules is imported: a node's memory is limited.
+Without a store all methods do nothing, and no store module is imported, since a node's memory is limited.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
     from limerudder.schema import StoreSettings
     from limerudder.store.node_bridge import NodeHooks, NodeStoreBridge
 
-OPEN_RETRY_INTERVAL_SECONDS = 0.05  #: while another process of this node has the store's directory
-OPEN_WARNING_SECONDS = 5.0  #: after which the log says that it still has it
-DONE_ANSWER = "done\n"  #: the console's answer to a call that has been carried out
+OPEN_RETRY_INTERVAL_SECONDS = 0.05  #: Interval while another process of this node owns the store's directory
+OPEN_WARNING_SECONDS = 5.0  #: Waiting time after which a warning is logged
+DONE_ANSWER = "done\n"  #: Console answer to a successful call
 
-ConfigureLog = Callable[[str, int, float], None]  #: format, lines of a kind in a window, seconds of a window
-AnnounceDrain = Callable[[str, int], None]  #: the upstream's name, and its start in ms
+ConfigureLog = Callable[[str, int, float], None]  #: Arguments: format, lines per kind and window, window in s
+AnnounceDrain = Callable[[str, int], None]  #: Arguments: name of the upstream, its start time in ms
 
 
 class StoreRuntime:
-    """Opens, starts and closes the store of one process of a node."""
+    """Opens, starts and closes the store in one process of a node."""
 
     def __init__(
         self, config: ProcessConfig, log: LogSink, clock: Clock, configure_log: ConfigureLog
@@ -43,13 +43,13 @@
         self._log = log
         self._clock = clock
         self._configure_log = configure_log
-        self._bridge: NodeStoreBridge | None = None  # None while the store is not open here
+        self._bridge: NodeStoreBridge | None = None  # None unless the store is open in this process
         self._inherited_drains: InheritedDrains | None = None
         self._directory_is_busy = False
         self._takeover: asyncio.Task[None] | None = None
 
     def open(self, config: ProcessConfig) -> ProcessConfig:
-        """Open the store; return the configuration with the newer values it holds. Raises ConfigError."""
+        """Open the store; return the configuration with newer values from it. Raises ConfigError."""
         if self._settings is None:
             return config
         from limerudder.store.disk_errors import DiskBusyError, DiskError
@@ -57,7 +57,7 @@
         try:
             self._bridge = self._open_bridge(self._settings)
         except DiskBusyError as exc:
-            # a process of this node that hangs must not keep this one from serving
+            # a hung process of this node must not prevent this one from serving
             self._log(
                 LogKind.STORE_DISK,
                 f"store: {exc}; this process runs without it until that one has exited",
@@ -69,7 +69,7 @@
         return self._bridge.restore_config(config)
 
     def drain_memory(self, parent_drains: dict[str, int]) -> DrainMemory | None:
-        """Return what remembers drains: the store, or until it is open what the parent process knew."""
+        """Return the drain memory: the store, or until it is open the drains inherited from the parent."""
         if self._settings is None:
             return None
         if self._bridge is not None:
@@ -86,7 +86,7 @@
         return StoreMarks(self._bridge, local_marks)
 
     def maintenance_answer(self, name: str) -> str | DeferredAnswer:
-        """Return the console's answer to a change of a host's maintenance, given once it is durable."""
+        """Return the console answer to a maintenance change; it is sent once the change is durable."""
         if self._bridge is None:
             return DONE_ANSWER
         answer = DeferredAnswer()
@@ -94,7 +94,7 @@
         return answer
 
     async def start(self, node: Node, marks: MaintenanceMarks, announce_drain: AnnounceDrain) -> None:
-        """Connect the store to its peers and to the node; raises ConfigError if its address is taken."""
+        """Connect the store to its peers and the node; raises ConfigError if its address is in use."""
         if self._bridge is not None:
             await self._run_bridge(self._bridge, node, announce_drain)
         elif self._directory_is_busy:
@@ -108,7 +108,7 @@
         self._takeover = asyncio.get_running_loop().create_task(takeover)
 
     def close(self) -> None:
-        """End the takeover if one is going on, and close the store if it is open."""
+        """Cancel a takeover in progress, and close the store if it is open."""
         if self._takeover:
             self._takeover.cancel()
         if self._bridge:
@@ -134,7 +134,7 @@
         node.maintenance.marks = self.marks(marks)
         try:
             await self._run_bridge(bridge, node, announce_drain)
-        except ConfigError as exc:  # the node serves already, and goes on doing so
+        except ConfigError as exc:  # the node is already serving and continues to do so
             self._log(LogKind.STORE_DISK, f"store: {exc}; this process runs without its store")
             return
         for endpoint in node.endpoint_list().endpoints:
@@ -157,7 +157,7 @@
 
 
 def _node_hooks(node: Node) -> NodeHooks:
-    """Return what the store calls on this node."""
+    """Return the node functions that the store calls."""
     from limerudder.store.node_bridge import NodeHooks
 
     return NodeHooks(
--- a/tests/test_startup_signals.py
+++ b/tests/test_startup_signals.py
@@ -29,7 +29,7 @@
 signals.install()
 os.kill(os.getpid(), signal.SIGUSR1)
 assert not signals.reload_requested
-signals.hold()
+signals.block()
 signal.signal(signal.SIGHUP, signal.SIG_DFL)  # as an event loop leaves it
 os.kill(os.getpid(), signal.SIGHUP)
 signals.install()
@@ -39,6 +39,6 @@
 
 def test_signals_that_were_never_taken_are_not_held() -> None:
     play("""
-signals.hold()
+signals.block()
 assert not signal.pthread_sigmask(signal.SIG_BLOCK, ()) & set(HANDLED_SIGNALS)
 """)
