--- a/limerudder/config.py
+++ b/limerudder/config.py
@@ -54,7 +54,7 @@
     shared_directory = environment.get("TMPDIR")
     if not shared_directory:
         return config
-    return replace(config, state=os.path.join(shared_directory, state_name(config)))
+    return replace(config, state=os.path.join(shared_directory, state_directory_name(config)))
 
 
 def reload_config(environment: Mapping[str, str]) -> ProcessConfig:
@@ -88,7 +88,7 @@
         raise ConfigError(str(exc)) from exc
 
 
-def state_name(config: ProcessConfig) -> str:
+def state_directory_name(config: ProcessConfig) -> str:
     """Return the name of the state directory, which is unique to this node of this tier.
 
     The directory contains the socket through which a new process takes over from the running one. The name
--- a/limerudder/net/listener.py
+++ b/limerudder/net/listener.py
@@ -45,8 +45,8 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     # bounds the time that a client sending at full speed can occupy the event loop in one read
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    # without it the system may delay a final response, which is lost if the connection is then closed
-    # while received data is still unread
+    # Nagle's algorithm may delay a final response, which is lost if the connection is then closed while
+    # received data is still unread
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
--- a/limerudder/net/log_writer.py
+++ b/limerudder/net/log_writer.py
@@ -58,7 +58,7 @@
 
     def _write_some(self, data: bytes) -> int:
         """Write without blocking; return the number of bytes written, 0 after an error."""
-        if not self._mode:  # was closed at start-up; the number may have been reused since
+        if not self._mode:  # the descriptor was closed at start-up; its number may have been reused
             return 0
         try:
             if stat.S_ISSOCK(self._mode):
--- a/limerudder/net/socket_handover.py
+++ b/limerudder/net/socket_handover.py
@@ -73,7 +73,7 @@
     except (FileNotFoundError, ConnectionRefusedError):  # no socket file, or a stale one
         connection.close()
         return None
-    except BlockingIOError:  # not a shortage here: the other process is not accepting
+    except BlockingIOError:  # the other process is not accepting: no shortage here
         connection.close()
         raise TimeoutError("its listen queue is full") from None
     except OSError:
--- a/limerudder/node_process.py
+++ b/limerudder/node_process.py
@@ -61,7 +61,7 @@
         await process.start()
     except BaseException:
         signals.block()
-        process.abandon()
+        process.close_failed_start()
         raise
     on_started()
     await process.run()
@@ -329,7 +329,7 @@
             self._tick_timer.cancel()
         self._resources.close()
 
-    def abandon(self) -> None:
+    def close_failed_start(self) -> None:
         """Close everything opened by a failed start."""
         self._stop_accepting()
         self._resources.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, the log's forms, and what the node pays for them."""
+"""Tests for the command line, the log formats and the modules that a node imports for them."""
 
 from __future__ import annotations
 
@@ -63,14 +63,24 @@
         assert "_LIMERUDDER_COMPLETE" in run("completion", shell)[1]
 
 
-def test_a_node_without_an_operators_file_loads_none_of_the_libraries_for_it() -> None:
-    heavy = ["click", "lark", "structlog", "msgspec", "sqlite3", "limerudder.store", "limerudder.cue"]
-    code = f"import sys, limerudder.node_main; print([m for m in {heavy} if m in sys.modules])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=False)
-    assert done.stdout == "[]\n", done.stderr
+def test_a_node_without_an_operators_file_imports_no_optional_modules() -> None:
+    optional_modules = [
+        "click",
+        "lark",
+        "structlog",
+        "msgspec",
+        "sqlite3",
+        "limerudder.store",
+        "limerudder.cue",
+    ]
+    code = f"import sys, limerudder.node_main; print([m for m in {optional_modules} if m in sys.modules])"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=False
+    )
+    assert completed.stdout == "[]\n", completed.stderr
 
 
-def test_a_bad_operators_file_stops_a_node_at_its_start(tmp_path: Path) -> None:
+def test_an_invalid_operators_file_prevents_a_start(tmp_path: Path) -> None:
     file = tmp_path / "op.cue"
     file.write_text("log: {lines: 9}")
     environment = configuration(tmp_path) | {"LIMERUDDER_FILE": str(file)}
@@ -85,7 +95,7 @@
 
 
 @pytest.mark.parametrize("with_structlog", [False, True], ids=["builtin", "structlog"])
-def test_both_forms_hold_the_same_fields(capfd: pytest.CaptureFixture[str], with_structlog: bool) -> None:
+def test_both_formats_have_the_same_fields(capfd: pytest.CaptureFixture[str], with_structlog: bool) -> None:
     def lines(log_format: str) -> list[str]:
         log = Log("n0", log_format, max_lines=2, window_seconds=60.0)
         if with_structlog:
@@ -120,20 +130,20 @@
     assert objects[3]["level"] == "error"
 
 
-def test_the_rate_limiter_counts_each_kind_alone() -> None:
+def test_the_rate_limiter_counts_each_kind_separately() -> None:
     rate = LogRateLimiter(1, 60.0)
     assert rate(None, "info", {"kind": "a"}) is not None
     assert rate(None, "info", {"kind": "a"}) is None
     assert rate(None, "info", {"kind": "b"}) is not None
 
 
-def test_build_puts_the_command_beside_its_python(tmp_path: Path) -> None:
+def test_build_installs_the_command_next_to_its_python(tmp_path: Path) -> None:
     command = Path(sys.executable).parent / "limerudder"
-    ran = subprocess.run([command, "--help"], cwd=tmp_path, capture_output=True, text=True, check=False)
-    assert ran.returncode == 0 and "check" in ran.stdout
+    completed = subprocess.run([command, "--help"], cwd=tmp_path, capture_output=True, text=True, check=False)
+    assert completed.returncode == 0 and "check" in completed.stdout
 
 
-def test_the_lines_of_one_kind_are_bounded_however_many_hosts_they_are_about() -> None:
+def test_lines_of_one_kind_are_limited_for_any_number_of_hosts() -> None:
     rate = LogRateLimiter(1, 60.0)
     events = [rate(None, "info", {"kind": (LogKind.HOST_STATE, f"s-{n}")}) for n in range(3200)]
     assert sum(event is not None for event in events) == MAX_DETAILS_PER_WINDOW
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a node process."""
+"""Tests for the configuration of a node process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert config.known.endpoints[0].name == "s-1"
 
 
-def test_a_reloaded_configuration_has_its_own_discovery_whatever_the_environment_says(
+def test_a_reloaded_configuration_overrides_the_discovery_address_of_the_environment(
     tmp_path: Path,
 ) -> None:
     environment = configuration(tmp_path, discovery="127.0.0.1:7") | {"PROXY_DISCOVERY": "127.0.0.1:8"}
@@ -45,6 +45,6 @@
         {"known": {}},
     ],
 )
-def test_a_bad_configuration_is_an_error(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_an_invalid_configuration_raises_an_error(tmp_path: Path, changes: dict[str, Any]) -> None:
     with pytest.raises(ConfigError):
         load_config(configuration(tmp_path, **changes))
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""End to end over loopback sockets: a real node among scripted clients, upstreams and discovery."""
+"""End-to-end tests over loopback sockets: a real node with scripted clients, upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -108,9 +108,9 @@
 
 
 async def a_graceful_shutdown_migrates_its_clients_and_ends(testbed: LoopbackTestbed) -> None:
-    quick = settings()
-    quick["classes"][0] |= {"aimUs": 100_000, "deadlineUs": 800_000}
-    async with testbed.running_node(settings=quick) as node:
+    fast_settings = settings()
+    fast_settings["classes"][0] |= {"aimUs": 100_000, "deadlineUs": 800_000}
+    async with testbed.running_node(settings=fast_settings) as node:
         clients = [(await testbed.establish_connection())[0] for _ in range(3)]
         os.kill(os.getpid(), signal.SIGTERM)
         late_client = await testbed.connect()
@@ -135,7 +135,7 @@
         while not (await testbed.logged.get()).endswith("; keeping the previous configuration"):
             pass
         config.write_text(json.dumps(values | {"discovery": await new_discovery.start()}))
-        for _ in range(2):  # a repeat changes nothing
+        for _ in range(2):  # the repeated reload changes nothing
             os.kill(os.getpid(), signal.SIGHUP)
         watch = await new_discovery.accept()
         assert await watch.read_line() == "GET /discovery/hosts?watch=1&after=0 HTTP/1.1"
@@ -157,7 +157,7 @@
     for paused in (False, True, True, False, False):
         connection.set_reading_paused(paused)
     calls = [name for name, _, _ in transport.method_calls if name.endswith("_reading")]
-    assert calls == ["pause_reading", "resume_reading"], "uvloop reports a FIN again for each resume"
+    assert calls == ["pause_reading", "resume_reading"], "uvloop reports a FIN again after each resume"
 
 
 async def a_transport_is_shut_down_before_close_returns(testbed: LoopbackTestbed) -> None:
@@ -166,7 +166,7 @@
     connection.dialled_socket = near_end
     connection.close()
     far_end.setblocking(False)
-    # the event loop has not run since: an attempt that follows cannot overtake this end
+    # the event loop has not run since, so a later attempt cannot overtake this close
     assert far_end.recv(1) == b""
 
 
@@ -189,19 +189,19 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_scenario(scenario: Scenario, tmp_path: Path) -> None:
     async def run() -> None:
-        # a scenario that hangs fails, on any machine
+        # generous: only a scenario that hangs exceeds it
         await asyncio.wait_for(scenario(LoopbackTestbed(tmp_path)), 60)
 
     uvloop.run(run())
 
 
 @pytest.mark.parametrize("message", ["not an address", "cannot listen on 127.0.0.1:"])
-def test_a_bad_configuration_is_one_line_and_exit_code_2(tmp_path: Path, message: str) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        listen = "nowhere" if message == "not an address" else "{}:{}".format(*taken.getsockname())
+def test_an_invalid_configuration_prints_one_line_and_exits_with_code_2(tmp_path: Path, message: str) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        listen = "nowhere" if message == "not an address" else "{}:{}".format(*occupied.getsockname())
         environment = os.environ | configuration(tmp_path, listen=listen)
-        ran = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "limerudder"], env=environment, capture_output=True, text=True, check=False
         )
-    assert (ran.returncode, ran.stdout) == (2, "")
-    assert ran.stderr.count("\n") == 1 and message in ran.stderr
+    assert (completed.returncode, completed.stdout) == (2, "")
+    assert completed.stderr.count("\n") == 1 and message in completed.stderr
--- a/tests/test_error_text.py
+++ b/tests/test_error_text.py
@@ -1,4 +1,4 @@
-"""The one line that is left of an exception that nothing handled."""
+"""Tests for the one-line description of an unhandled exception."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from limerudder.net.error_text import error_text
 
 
-def test_the_innermost_place_of_the_package_is_named() -> None:
+def test_the_innermost_frame_in_the_package_is_named() -> None:
     try:
         parse_address("1.2.3:80")
     except ValueError as exc:
@@ -16,5 +16,5 @@
     )
 
 
-def test_an_error_that_was_never_raised_and_spans_lines_is_one_line() -> None:
+def test_a_multiline_error_that_was_not_raised_becomes_one_line() -> None:
     assert error_text(OSError("one\n  two")) == "OSError: one two"
--- a/tests/test_handover_listener.py
+++ b/tests/test_handover_listener.py
@@ -1,4 +1,4 @@
-"""The socket file under which a process hands over: created later where that fails, and by one process."""
+"""Tests for the handover socket file: creating it is retried, and only one process owns it."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 WAIT_SECONDS = 0.2
 
 
-def play(
+def run_scenario(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     scenario: Callable[[HandoverListener, list[int]], Awaitable[None]],
 ) -> None:
-    """Play a scenario with a listener; creating its socket file fails with the errors in the list."""
+    """Run a scenario with a listener; creating its socket file fails with the errors in `failures`."""
     failures = [errno.EMFILE]
     rename = os.rename
 
-    def fail_at_first(*args: Any, **kwargs: Any) -> None:
+    def fail_initially(*args: Any, **kwargs: Any) -> None:
         if failures:
-            raise OSError(failures.pop(), "for a moment")
+            raise OSError(failures.pop(), "transient")
         rename(*args, **kwargs)
 
     async def run() -> None:
@@ -39,12 +39,12 @@
             directory,
             [],
             lambda: b"{}\n",
-            lambda: pytest.fail("nobody connects"),
+            lambda: pytest.fail("unexpected connection"),
             Clock(),
             lambda kind, text, detail="": None,
         )
         monkeypatch.setattr(socket_handover, "PUBLISH_RETRY_SECONDS", WAIT_SECONDS / 4)
-        monkeypatch.setattr(os, "rename", fail_at_first)
+        monkeypatch.setattr(os, "rename", fail_initially)
         try:
             await scenario(listener, failures)
         finally:
@@ -54,19 +54,17 @@
     uvloop.run(run())
 
 
-def test_a_socket_file_that_cannot_be_created_is_created_later(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_creating_the_socket_file_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(listener: HandoverListener, failures: list[int]) -> None:
         listener.open()
         assert not (tmp_path / "handover").exists()
         while not (tmp_path / "handover").exists():
             await asyncio.sleep(WAIT_SECONDS / 10)
 
-    play(tmp_path, monkeypatch, scenario)
+    run_scenario(tmp_path, monkeypatch, scenario)
 
 
-def test_a_process_that_has_handed_over_does_not_take_the_name_back(
+def test_a_process_that_has_handed_over_does_not_replace_the_socket_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(listener: HandoverListener, failures: list[int]) -> None:
@@ -75,4 +73,4 @@
         await asyncio.sleep(WAIT_SECONDS)
         assert not (tmp_path / "handover").exists()
 
-    play(tmp_path, monkeypatch, scenario)
+    run_scenario(tmp_path, monkeypatch, scenario)
--- a/tests/test_hot_restart_processes.py
+++ b/tests/test_hot_restart_processes.py
@@ -1,4 +1,4 @@
-"""Hot restart: real processes of a node on loopback."""
+"""Hot restart tests with real processes of a node on loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
             assert await new_client.read_line() == "M 1"
             assert "app.out_of_rotation:1|g" in await testbed.read_console(new, "stats")
             assert await testbed.call_console(new, "maint-off s-2") == "done"
-            async with testbed.node_process() as third:  # by now the socket files are the second process's
+            async with testbed.node_process() as third:  # by now the second process owns the socket files
                 await third.wait_for_log("listening on")
                 new.send_signal(signal.SIGTERM)
                 assert await new_client.read_line() == "MOVE"
@@ -40,7 +40,7 @@
                 assert "app.out_of_rotation:0|g" in await testbed.read_console(third, "stats")
 
 
-async def the_parent_accepts_clients_again_where_the_successor_dies(testbed: LoopbackTestbed) -> None:
+async def the_parent_accepts_clients_again_if_the_successor_dies(testbed: LoopbackTestbed) -> None:
     async with testbed.node_process() as old:
         established = await testbed.establish_echo_client()
         async with testbed.node_process() as new:
@@ -60,7 +60,7 @@
 async def a_stop_before_the_successor_is_ready_hands_over_at_once(testbed: LoopbackTestbed) -> None:
     async with testbed.node_process() as old:
         established = await testbed.establish_echo_client()
-        # discovery is unreachable, and the successor would wait for its list
+        # discovery is unreachable, so the successor would wait for its list
         async with testbed.node_process(discovery="127.0.0.1:9") as new:
             await old.wait_for_log("another process has asked to take over")
             old.send_signal(signal.SIGTERM)
@@ -85,14 +85,14 @@
         await testbed.establish_echo_client()
 
 
-async def a_successor_asks_discovery_where_sighup_had_it_asked(testbed: LoopbackTestbed) -> None:
+async def a_successor_uses_the_discovery_address_that_sighup_has_loaded(testbed: LoopbackTestbed) -> None:
     testbed.environment["PROXY_DISCOVERY"] = "127.0.0.1:9"
     async with testbed.node_process() as old:
         old.send_signal(signal.SIGHUP)
         await old.wait_for_log("config: reloaded")
         async with testbed.node_process() as new:
             await new.wait_for_log("listening on")
-            assert len(testbed.watches) == 2, "the address in the file, as for the parent"
+            assert len(testbed.watches) == 2, "the successor uses the address in the file, like its parent"
 
 
 async def a_successor_that_fails_to_start_leaves_its_parent_as_it_was(testbed: LoopbackTestbed) -> None:
@@ -118,9 +118,9 @@
 
 SCENARIOS = [
     a_successor_serves_and_no_client_is_rejected,
-    the_parent_accepts_clients_again_where_the_successor_dies,
+    the_parent_accepts_clients_again_if_the_successor_dies,
     a_successor_that_fails_to_start_leaves_its_parent_as_it_was,
-    a_successor_asks_discovery_where_sighup_had_it_asked,
+    a_successor_uses_the_discovery_address_that_sighup_has_loaded,
     a_stop_before_the_successor_is_ready_hands_over_at_once,
     a_successor_stopped_before_it_is_ready_leaves_its_parent_as_it_was,
     stale_socket_files_are_ignored,
@@ -142,16 +142,16 @@
 
 
 def state_directory(folder: Path, **changes: object) -> str | None:
-    """The directory in which a node so configured looks for its parent process."""
+    """Return the directory in which a node with this configuration looks for its parent process."""
     environment = configuration(folder, listen="127.0.0.1:8081", **changes)
     return load_config({**environment, "TMPDIR": str(folder)}).state
 
 
 @pytest.mark.parametrize("changes", OTHER_DEPLOYMENTS.values(), ids=OTHER_DEPLOYMENTS.keys())
-def test_nothing_is_taken_over_from_a_node_of_another_deployment(
+def test_a_node_does_not_take_over_from_a_node_of_another_deployment(
     changes: dict[str, object], tmp_path: Path
 ) -> None:
-    """Deployments side by side on one machine may all have an n0 at one address."""
+    """Several deployments on one machine may each have a node n0 with the same address."""
     assert state_directory(tmp_path) != state_directory(tmp_path, **changes)
 
 
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Writing the log to a standard error that does not take it: nothing waits and nothing is raised."""
+"""Tests for writing the log to a standard error that accepts nothing: no call blocks or raises."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LONG_LINE = "x" * 3000
 
 
-def test_lines_for_a_pipe_that_is_full_are_dropped_and_counted_when_it_is_read_again() -> None:
+def test_lines_for_a_full_pipe_are_dropped_and_counted_once_it_is_read_again() -> None:
     read_end, write_end = os.pipe()
     writer = LogWriter(write_end)
     for number in range(100):
@@ -32,7 +32,7 @@
     assert os.get_blocking(write_end), "other processes may share the pipe"
 
 
-def test_lines_for_a_pipe_whose_reader_has_gone_are_dropped() -> None:
+def test_lines_for_a_pipe_without_a_reader_are_dropped() -> None:
     read_end, write_end = os.pipe()
     os.close(read_end)
     writer = LogWriter(write_end)
@@ -51,17 +51,17 @@
     assert writer.lines_dropped == 2
 
 
-def test_a_socket_that_is_not_read_drops_lines_and_never_half_of_one() -> None:
-    here, there = socket.socketpair()
-    writer = LogWriter(here.fileno())
+def test_lines_for_an_unread_socket_are_dropped_completely_or_not_at_all() -> None:
+    near_end, far_end = socket.socketpair()
+    writer = LogWriter(near_end.fileno())
     for number in range(200):
         writer.write(f"{number} {LONG_LINE}")
-    there.setblocking(False)
+    far_end.setblocking(False)
     received = b""
     for _ in range(200):
         writer.write(f"200 {LONG_LINE}")
         try:
-            received += there.recv(1 << 20)
+            received += far_end.recv(1 << 20)
         except BlockingIOError:
             break
     lines = received.decode().splitlines()[:-1]
@@ -77,20 +77,20 @@
     assert capfd.readouterr().err == "one two three\nfour\n"
 
 
-def test_a_connection_that_has_the_number_of_a_closed_standard_error_gets_no_line_of_the_log() -> None:
-    """Guards against hosts and clients that are sent what nobody sent them."""
+def test_a_connection_that_reuses_the_number_of_a_closed_standard_error_receives_no_log_lines() -> None:
+    """Guards against log lines that are sent to hosts or clients."""
     descriptor = os.open(os.devnull, os.O_WRONLY)
     os.close(descriptor)
     writer = LogWriter(descriptor)
-    here, there = socket.socketpair()
-    assert here.fileno() == descriptor
+    near_end, far_end = socket.socketpair()
+    assert near_end.fileno() == descriptor
     writer.write("for the log")
-    there.setblocking(False)
+    far_end.setblocking(False)
     with pytest.raises(BlockingIOError):
-        there.recv(100)
+        far_end.recv(100)
 
 
-def test_a_process_started_without_standard_descriptors_opens_no_connection_in_their_place() -> None:
+def test_a_process_started_without_standard_descriptors_does_not_reuse_them_for_connections() -> None:
     code = (
         "import socket, sys, limerudder.__main__ as program; program.open_standard_descriptors();"
         "sys.exit(40 + socket.socket().fileno())"
--- a/tests/test_shortage.py
+++ b/tests/test_shortage.py
@@ -1,4 +1,4 @@
-"""Shortages of this process or its machine: they are waited for, and blamed on nobody."""
+"""Tests for local resource shortages: operations are retried, and no remote side is marked as failed."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 def config_error(number: int) -> ConfigError:
     error = ConfigError("cannot listen")
-    error.__cause__ = OSError(number, "for a reason")
+    error.__cause__ = OSError(number, "cause")
     return error
 
 
-def test_which_errors_pass_and_how_long_a_start_waits_for_it() -> None:
+def test_transient_errors_and_the_retry_time_of_a_start() -> None:
     assert is_shortage(OSError(errno.EMFILE, ""))
     assert is_shortage(config_error(errno.ENFILE))
     assert is_shortage(MemoryError())
@@ -44,7 +44,7 @@
 
 
 class RecordingMachine(OutboundMachineBase):
-    """Notes whether it was told that its connection is lost, and when its bytes were sent."""
+    """Records whether its connection was reported lost, and when its bytes were sent."""
 
     def __init__(self) -> None:
         self.lost = False
@@ -65,14 +65,14 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_dial_waits_for_a_shortage_to_pass(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
-    """Guards against hosts that counted as failed because this process had no descriptor left."""
+def test_a_dial_is_retried_during_a_shortage(monkeypatch: pytest.MonkeyPatch, number: int) -> None:
+    """Guards against hosts that counted as failed because this process was out of descriptors."""
     open_socket = socket.socket
     failures = [number] * 3
 
-    def fail_at_first(*args: Any, **kwargs: Any) -> socket.socket:
+    def fail_initially(*args: Any, **kwargs: Any) -> socket.socket:
         if failures:
-            raise OSError(failures.pop(), "for a moment")
+            raise OSError(failures.pop(), "transient")
         return open_socket(*args, **kwargs)
 
     async def run() -> None:
@@ -81,7 +81,7 @@
         connector = TcpConnector(asyncio.get_running_loop(), Clock())
         reported: list[OSError] = []
         connector.on_local_failure = lambda address, error: reported.append(error)
-        monkeypatch.setattr(socket, "socket", fail_at_first)
+        monkeypatch.setattr(socket, "socket", fail_initially)
         machine = RecordingMachine()
         connection = connector.dial(address, machine)
         await asyncio.wait_for(machine.sent.wait(), TIMEOUT_SECONDS)
@@ -93,12 +93,12 @@
     uvloop.run(run())
 
 
-def test_a_dial_that_is_given_up_during_a_shortage_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_dial_that_is_cancelled_during_a_shortage_ends(monkeypatch: pytest.MonkeyPatch) -> None:
     async def run() -> None:
         connector = TcpConnector(asyncio.get_running_loop(), Clock())
 
         def fail(*args: Any, **kwargs: Any) -> socket.socket:
-            raise OSError(errno.EMFILE, "still")
+            raise OSError(errno.EMFILE, "persistent")
 
         monkeypatch.setattr(socket, "socket", fail)
         machine = RecordingMachine()
@@ -108,12 +108,12 @@
         monkeypatch.undo()
         assert connection.connect_task
         await asyncio.wait_for(connection.connect_task, TIMEOUT_SECONDS)
-        assert not machine.lost, "whoever closes a connection hears no more of it"
+        assert not machine.lost, "a machine receives no events after it has closed its connection"
 
     uvloop.run(run())
 
 
-def test_a_process_that_serves_and_accepts_no_successor_is_no_shortage(tmp_path: Path) -> None:
+def test_a_serving_process_that_accepts_no_successor_is_not_a_shortage(tmp_path: Path) -> None:
     directory = StateDirectory(str(tmp_path))
     assert request_handover(directory) is None
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -126,5 +126,5 @@
     assert not is_shortage(raised.value)
     listener.close()
     waiting.close()
-    assert request_handover(directory) is None, "it has ended"
+    assert request_handover(directory) is None, "the serving process has exited"
     directory.close()
--- a/tests/test_slow_loading.py
+++ b/tests/test_slow_loading.py
@@ -1,4 +1,4 @@
-"""A node that takes long to load its endpoints: what it asks afterwards has all of its time."""
+"""Tests that slow loading of endpoints does not shorten the time-outs of later calls."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from limerudder.config import load_config
 from tests.node_testbed import NodeTestbed
 
-LOADING_US = SECOND  #: longer than a call to an agent may wait for its first byte
+LOADING_US = SECOND  #: Loading time; longer than the first-byte time-out of a call to an agent
 
 
-class SlowTestbed(NodeTestbed):
-    """A node whose endpoints take LOADING_US to load."""
+class SlowLoadingTestbed(NodeTestbed):
+    """A node that needs LOADING_US to load its endpoints."""
 
     def start_node(self) -> None:
         self.node.load_endpoints(self.now)
@@ -20,9 +20,9 @@
         self.node.start(self.now)
 
 
-def test_the_first_call_to_discovery_has_its_time_from_the_start_on(tmp_path: Path) -> None:
-    """Guards against a call given up at once, since its deadline began before the endpoints loaded."""
+def test_the_timeout_of_the_first_discovery_call_begins_at_the_start(tmp_path: Path) -> None:
+    """Guards against a call cancelled immediately because its deadline was set before the endpoints loaded."""
     pushed = settings() | {"discovery": "pushed"}
-    testbed = SlowTestbed(load_config(configuration(tmp_path, settings=pushed)))
+    testbed = SlowLoadingTestbed(load_config(configuration(tmp_path, settings=pushed)))
     testbed.run(200_000)
     assert [dial.closed for dial in testbed.dials] == [False]
--- a/tests/test_start_with_many_hosts.py
+++ b/tests/test_start_with_many_hosts.py
@@ -1,4 +1,4 @@
-"""Real node processes that start with 3,200 listed hosts: whatever happens meanwhile, they serve."""
+"""Tests that real node processes start and serve with 3,200 listed hosts, despite faults during the start."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from harness.node_process import NodeProcess
 
 SCENARIO_TIMEOUT_SECONDS = 60
-KILL_SECONDS = 0.5  #: after the start, as in the report
+KILL_SECONDS = 0.5  #: Time from start to SIGKILL, as in report 47952f
 CLIENTS = 6
 SERVED_REQUESTS = 40
-SHORTAGE_MS = 1200  #: from the start of the process on
-STOP_SECONDS = 3.7  #: from SIGTERM to the earliest SIGKILL
+SHORTAGE_MS = 1200  #: Duration of the shortage from the start of the process
+STOP_SECONDS = 3.7  #: Minimum time from SIGTERM to SIGKILL
 
 
-def play(
+def run_scenario(
     folder: Path, scenario: Callable[[ManyHostsTier, NodeProcess], Awaitable[None]], sockets: int = 384
 ) -> None:
-    """Play a scenario with one node and all that surrounds it."""
+    """Run a scenario with one node and its environment."""
 
     async def run() -> None:
         tier = ManyHostsTier(folder, sockets=sockets)
@@ -41,7 +41,7 @@
 
 
 async def serve_clients(tier: ManyHostsTier, node: NodeProcess) -> None:
-    """Send requests through the node; all are answered, and the process lives on."""
+    """Send requests through the node; check that all are answered and the process keeps running."""
     tier.start_clients(CLIENTS)
     await wait_until(lambda: tier.answer_counts["UP"] >= SERVED_REQUESTS, "served requests")
     assert not tier.violations
@@ -49,7 +49,7 @@
 
 
 async def counters(node: NodeProcess) -> str:
-    """Return the process's counters, as it logs them."""
+    """Return the counters that the process logs."""
     assert node.process
     node.process.send_signal(signal.SIGUSR1)
     await wait_until(lambda: any("counters: " in line for line in node.lines), "counters")
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("sockets", [384, 1024])
-def test_a_node_that_has_to_ask_all_hosts_for_their_load_starts(tmp_path: Path, sockets: int) -> None:
-    """Guards against report 47952f: node 0 dialled all hosts, and ended for lack of descriptors."""
+def test_a_node_that_polls_the_load_of_all_hosts_starts(tmp_path: Path, sockets: int) -> None:
+    """Guards against report 47952f: node 0 dialled all hosts and exited because it ran out of descriptors."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare()
@@ -73,33 +73,33 @@
         assert "dials_failed_locally" not in text
         assert "endpoint_updates=1 " not in text, "discovery has sent its list"
 
-    play(tmp_path, scenario, sockets)
+    run_scenario(tmp_path, scenario, sockets)
 
 
 async def unread_pipe() -> int:
-    """Return the end of a pipe that nobody reads; its other end stays open as long as this process."""
+    """Return the write end of an unread pipe; the read end stays open until this process exits."""
     _, write_end = os.pipe()
     return write_end
 
 
 async def closed_pipe() -> int:
-    """Return the end of a pipe whose reader has gone."""
+    """Return the write end of a pipe whose read end is closed."""
     read_end, write_end = os.pipe()
     os.close(read_end)
     return write_end
 
 
 async def full_device() -> int:
-    """Return a device on which no byte finds room (ENOSPC)."""
+    """Return a device on which each write fails with ENOSPC."""
     return os.open("/dev/full", os.O_WRONLY)
 
 
 @pytest.mark.parametrize("cold_share", [0.0, 0.5])
 @pytest.mark.parametrize("open_log", [unread_pipe, closed_pipe, full_device])
-def test_a_log_that_takes_nothing_keeps_no_node_from_serving(
+def test_a_node_serves_although_its_log_cannot_be_written(
     tmp_path: Path, open_log: Callable[[], Awaitable[int]], cold_share: float
 ) -> None:
-    """Guards against a log that blocked a node before it listened, or ended it with an error of a write."""
+    """Guards against a log that blocked a node before it listened, or ended it with a write error."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         tier.cold_share = cold_share
@@ -113,12 +113,12 @@
         process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(process.wait(), STOP_SECONDS) == 0
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
-def test_signals_in_series_from_the_first_moment_on_end_no_node(tmp_path: Path, number: int) -> None:
-    """Guards against a new configuration, or a call for counters, that ended a node while it started."""
+def test_repeated_signals_from_process_start_do_not_end_a_node(tmp_path: Path, number: int) -> None:
+    """Guards against a reload or a request for counters that ended a node during start-up."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
@@ -129,12 +129,12 @@
             await asyncio.sleep(CHECK_SECONDS)
         await wait_until_ready(node, process)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("delay_seconds", [0.1, 0.2, 0.3, 0.5])
-def test_a_node_that_is_stopped_while_it_starts_ends_in_time(tmp_path: Path, delay_seconds: float) -> None:
-    """Guards against a SIGTERM during start-up that is lost, or leaves a traceback."""
+def test_a_node_stopped_during_start_up_exits_in_time(tmp_path: Path, delay_seconds: float) -> None:
+    """Guards against a SIGTERM during start-up that is lost or causes a traceback."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
@@ -142,10 +142,10 @@
         await asyncio.sleep(delay_seconds)
         process.send_signal(signal.SIGTERM)
         exit_code = await asyncio.wait_for(process.wait(), STOP_SECONDS)
-        assert exit_code in (0, -signal.SIGTERM)  # the signal's own code until Python code runs
+        assert exit_code in (0, -signal.SIGTERM)  # the signal's default code until Python code runs
         assert not any("Traceback" in line for line in node.lines)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 SHORTAGES = {
@@ -157,8 +157,8 @@
 
 
 @pytest.mark.parametrize("calls", SHORTAGES.values(), ids=list(SHORTAGES))
-def test_a_shortage_while_a_node_starts_delays_it_only(tmp_path: Path, calls: str) -> None:
-    """Guards against a system call that failed for a moment during start-up and ended the process with 1."""
+def test_a_shortage_during_start_up_only_delays_a_node(tmp_path: Path, calls: str) -> None:
+    """Guards against a transient system call failure during start-up that ended the process with code 1."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
@@ -168,11 +168,11 @@
         await wait_until_ready(node, process)
         await serve_clients(tier, node)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_parent_that_sends_its_state_in_trickles_does_not_hold_its_successor(tmp_path: Path) -> None:
-    """Guards against a successor that waited without end for the state of a process that hangs."""
+def test_a_parent_that_sends_its_state_very_slowly_does_not_block_its_successor(tmp_path: Path) -> None:
+    """Guards against a successor that waited forever for the state of a hung process."""
 
     async def trickle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -190,7 +190,7 @@
         await process.wait()
         (socket_file,) = (node.folder / "tmp").glob("*/handover")
         socket_file.unlink()
-        directory = os.open(socket_file.parent, os.O_RDONLY)  # its path is longer than a socket's may be
+        directory = os.open(socket_file.parent, os.O_RDONLY)  # its path exceeds the limit for socket paths
         server = await asyncio.start_unix_server(trickle, f"/proc/self/fd/{directory}/{socket_file.name}")
         try:
             await wait_until_ready(node, await node.launch())
@@ -198,11 +198,11 @@
             server.close()
             os.close(directory)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
-def test_the_exit_code_of_a_node_without_descriptors_comes_with_one_line(tmp_path: Path) -> None:
-    """Guards against a limit too low to start with that left a traceback of the event loop."""
+def test_a_node_without_descriptors_prints_one_line_and_exits(tmp_path: Path) -> None:
+    """Guards against a limit too low for a start that caused a traceback of the event loop."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
@@ -213,4 +213,4 @@
         assert len(node.lines) == 1, node.lines
         assert node.lines[0].startswith("limerudder: ")
 
-    play(tmp_path, scenario, sockets=10)
+    run_scenario(tmp_path, scenario, sockets=10)
--- a/tests/test_startup_signals.py
+++ b/tests/test_startup_signals.py
@@ -1,6 +1,6 @@
-"""Signals before the event loop handles them, and between two tries of a start.
+"""Tests for signals before the event loop handles them, and between two attempts to start.
 
-Played in processes of their own: a signal to this one would go to any of its threads.
+Each test runs in a separate process: a signal to this one could be delivered to any of its threads.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 """
 
 
-def play(code: str) -> None:
-    """Run the code in a process; its assertions hold, and no signal ends it."""
+def run_in_process(code: str) -> None:
+    """Run the code in a process; check that its assertions pass and that no signal ends it."""
     command = [sys.executable, "-c", PREAMBLE + code]
-    played = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    assert played.returncode == 0, played.stderr
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    assert completed.returncode == 0, completed.stderr
 
 
-def test_a_reload_is_remembered_and_one_that_is_held_comes_with_the_next_handlers() -> None:
-    play("""
+def test_a_reload_is_recorded_and_a_blocked_one_is_delivered_after_the_next_install() -> None:
+    run_in_process("""
 signals.install()
 os.kill(os.getpid(), signal.SIGUSR1)
 assert not signals.reload_requested
 signals.block()
-signal.signal(signal.SIGHUP, signal.SIG_DFL)  # as an event loop leaves it
+signal.signal(signal.SIGHUP, signal.SIG_DFL)  # as after an event loop has closed
 os.kill(os.getpid(), signal.SIGHUP)
 signals.install()
 assert signals.reload_requested
 """)
 
 
-def test_signals_that_were_never_taken_are_not_held() -> None:
-    play("""
+def test_signals_without_installed_handlers_are_not_blocked() -> None:
+    run_in_process("""
 signals.block()
 assert not signal.pthread_sigmask(signal.SIG_BLOCK, ()) & set(HANDLED_SIGNALS)
 """)
