--- a/tests/test_slow_loading.py
+++ b/tests/test_slow_loading.py
@@ -21,7 +21,7 @@
 
 
 def test_the_timeout_of_the_first_discovery_call_begins_at_the_start(tmp_path: Path) -> None:
-    """Guards against a call cancelled immediately because its deadline was set before the endpoints loaded."""
+    """Guards against a call cancelled early because its deadline began before the endpoints loaded."""
     pushed = settings() | {"discovery": "pushed"}
     testbed = SlowLoadingTestbed(load_config(configuration(tmp_path, settings=pushed)))
     testbed.run(200_000)
