--- a/limerudder/cli.py
+++ b/limerudder/cli.py
@@ -80,8 +80,8 @@
 @click.group(
     cls=LazyGroup,
     lazy_commands={
-        "state": LazyCommand(".store.cli", "state", "Manage the replicated store."),
-        "lab": LazyCommand(".loadtest.cli", "lab", "Run load tests against nodes and check the results."),
+        "state": LazyCommand(".store.cli", "state", "Administer the replicated store."),
+        "lab": LazyCommand(".loadtest.cli", "lab", "Run load tests against nodes."),
     },
     epilog=EXAMPLES + "  limerudder node\n  limerudder check limerudder.cue\n  limerudder state status",
     context_settings={"help_option_names": ["-h", "--help"]},
