--- a/limerudder/core/client/connection.py
+++ b/limerudder/core/client/connection.py
@@ -20,7 +20,7 @@
     READING_LINE = auto()  # waiting for the client's first line
     AWAITING_ANSWER = auto()  # waiting for the final answer to the request
     PROXYING = auto()  # relaying data in both directions
-    CLOSING = auto()  # the final response has been sent, or the connection is closed
+    CLOSING = auto()  # waiting for the client to close after the final response, or closed
 
 
 class ClientConnection:
--- a/limerudder/core/requests/attempt_runner.py
+++ b/limerudder/core/requests/attempt_runner.py
@@ -164,7 +164,7 @@
             self._traffic_log.request_sent(request_id, upstream.name, upstream.ready_since_us, now_us)
 
     def attempt_established(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Start to relay between client and upstream, unless the client has disconnected."""
+        """Start to relay between client and upstream, unless the request is already finished."""
         attempt = connection.attempt
         upstream = connection.upstream
         if attempt is None or upstream is None:
--- a/limerudder/core/requests/final_answers.py
+++ b/limerudder/core/requests/final_answers.py
@@ -13,7 +13,7 @@
 from limerudder.core.services import NodeServices
 from limerudder.policy.events import AttemptOutcome
 
-MAX_ANSWER_DELAY_US = 500_000  #: Maximum delay of an answer after the deadline; a later one is lost
+MAX_ANSWER_DELAY_US = 500_000  #: Maximum delay of an answer after the deadline; a later one counts as lost
 
 
 class FinalAnswer(Enum):
--- a/limerudder/core/requests/pinned_reconnect.py
+++ b/limerudder/core/requests/pinned_reconnect.py
@@ -1,4 +1,4 @@
-"""Reconnects connections that were established before the node started to the same upstreams."""
+"""Reconnects pinned connections, established before the node started, to the upstreams that serve them."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     def _reconnect(self, connection: ProxiedConnection, pinned_upstream: str, now_us: int) -> None:
         if connection.state is not ConnectionState.WAITING or connection.attempt:
             return
-        # not get_or_create: a client's line must not create an upstream that discovery never listed
+        # get_or_create is not used: a client's line must not create an upstream that was never listed
         upstream = self._upstreams.by_name.get(pinned_upstream)
         if upstream and not connection.attempts_started:
             connection.attempts_started = 1
