--- a/limerudder/core/discovery/discovery_client.py
+++ b/limerudder/core/discovery/discovery_client.py
@@ -31,7 +31,7 @@
         """A poll was unnecessary, since the watch has missed nothing."""
 
     def endpoints_failed(self, version: int, now_us: int) -> None:
-        """A call failed or the watch ended; the list received so far remains valid."""
+        """A call failed or the watch ended; the list received so far is kept."""
 
 
 class DiscoveryClient:
--- a/limerudder/core/upstream/attempt.py
+++ b/limerudder/core/upstream/attempt.py
@@ -13,8 +13,8 @@
 from limerudder.core.upstream.load_report import parse_report
 from limerudder.policy.events import AttemptOutcome
 
-MESSAGE_TIMEOUT_US = 2_500_000  #: Answer timeout of a message; a stream may stop without an error
-UPSTREAM_CLOSE_TIMEOUT_US = 700_000  #: Time limit for the upstream to end its side after the client has
+MESSAGE_TIMEOUT_US = 2_500_000  #: Answer timeout of a message; detects a stream that stopped without an error
+UPSTREAM_CLOSE_TIMEOUT_US = 700_000  #: Time for the upstream to close after the client has closed its side
 LINE_END = b"\r\n"
 
 #: Outcome of a proxied connection by the first word of the last line from its upstream.
--- a/limerudder/core/upstream/endpoint_updater.py
+++ b/limerudder/core/upstream/endpoint_updater.py
@@ -118,7 +118,7 @@
 
     def _effective_state(self, endpoint: Endpoint) -> ServerState:
         """Return the worst of the listed state, recorded drains and maintenance."""
-        # Called for every endpoint, because it also records the endpoints that are listed as draining.
+        # `observe` is called for every endpoint, because it also records those that are listed as draining.
         drains = self.drain_memory.observe(endpoint) if self.drain_memory else False
         if endpoint.state == ServerState.READY and (drains or self._is_in_maintenance(endpoint.name)):
             return ServerState.DRAINING
--- a/limerudder/core/upstream/load_report.py
+++ b/limerudder/core/upstream/load_report.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from math import nan
 
-MALFORMED_REPORT = "node: host {} sent a malformed load report"  #: Log text with a placeholder for the name
+MALFORMED_REPORT = "node: host {} sent a malformed load report"  #: Log text; takes the host's name
 
 
 def is_malformed(report: Sequence[float]) -> bool:
--- a/limerudder/core/upstream/registry.py
+++ b/limerudder/core/upstream/registry.py
@@ -20,7 +20,7 @@
     def __init__(self, number: int, name: str) -> None:
         self.number = number
         self.name = name
-        self.endpoint: Endpoint | None = None  # Discovery's last entry
+        self.endpoint: Endpoint | None = None  # Last entry from discovery
         self.address: Address = ("", 0)
         self.state: ServerState = ServerState.GONE
         self.ready_since_us = 0  # Last start or return to service, by the node's clock; 0: long ago
@@ -28,7 +28,7 @@
         self.liveness = LivenessMonitor()
         self.last_health_check_answer_us = 0
         self.is_slow = False  # Whether the policy's last latency sample of this upstream was slow
-        self.latency_reported_us = -_MICROSECONDS_PER_SECOND  # Time of its last latency sample
+        self.latency_reported_us = -_MICROSECONDS_PER_SECOND  # Time of the last sample; at first long ago
         self.returned_to_service_us = 0  # Time at which operators last ended its maintenance; 0: never
         self.awaiting_listing_after_return = False  # Whether it has returned and is not yet listed as ready
 
