--- a/limerudder/core/lifecycle/graceful_shutdown.py
+++ b/limerudder/core/lifecycle/graceful_shutdown.py
@@ -40,7 +40,7 @@
 
     @property
     def has_final_answer(self) -> bool:
-        """Whether the final answer has been given."""
+        """Whether the request has been answered or its client has disconnected."""
 
 
 RequestT = TypeVar("RequestT", bound=ShutdownRequest)
--- a/limerudder/core/lifecycle/hot_restart/handover_state.py
+++ b/limerudder/core/lifecycle/hot_restart/handover_state.py
@@ -29,8 +29,8 @@
     request_ids: tuple[int, ...]  #: Ids of open and recently closed requests.
     usage: ProcessUsage
     return_to_service_times: dict[str, int]  #: Microseconds since 1970, keyed by upstream name.
-    config_reloaded: bool  #: Discovery's address is the configuration file's, not the environment's.
-    drained_starts: dict[str, int]  #: Latest drained start, ms since 1970, keyed by upstream name.
+    config_reloaded: bool  #: Whether discovery's address comes from the file, not the environment.
+    drained_starts: dict[str, int]  #: Latest draining start, ms since 1970, keyed by upstream name.
 
 
 def usage_to_json(usage: ProcessUsage) -> dict[str, Any]:
--- a/limerudder/core/lifecycle/hot_restart/messages.py
+++ b/limerudder/core/lifecycle/hot_restart/messages.py
@@ -47,7 +47,7 @@
 
 
 class EndpointDrained(NamedTuple):
-    """The parent has received a report that an upstream is draining."""
+    """The parent has recorded a drain of an upstream."""
 
     name: str
     started_ms: int  #: Start time of the draining upstream, in ms since 1970.
--- a/limerudder/core/lifecycle/hot_restart/node_binding.py
+++ b/limerudder/core/lifecycle/hot_restart/node_binding.py
@@ -15,7 +15,7 @@
     from limerudder.core.node import Node
 
 
-#: Time after a successor starts to serve in which its parent may still send, not having been notified.
+#: Time after a successor starts to serve during which its parent, not yet notified, may send as before.
 HANDOVER_OVERLAP_US = 500_000
 
 
--- a/limerudder/core/lifecycle/hot_restart/successor.py
+++ b/limerudder/core/lifecycle/hot_restart/successor.py
@@ -26,10 +26,10 @@
 
 
 class SuccessorPhase(Enum):
-    """Whether the successor has been requested to serve."""
+    """Whether the successor has called `start_serving`."""
 
     PREPARING = auto()  #: Polls discovery and checks upstreams, while the parent accepts clients.
-    SERVING = auto()  #: Has been requested to accept clients; this happens once.
+    SERVING = auto()  #: `start_serving` has been called, which happens only once.
 
 
 class SuccessorHooks(NamedTuple):
@@ -39,7 +39,7 @@
     set_parent_usage: Callable[[ProcessUsage, int], None]
     apply_return_to_service_times: Callable[[dict[str, int], int], None]
     record_request: Callable[[int], None]  #: Records the id of a request that the parent has accepted.
-    record_drain: Callable[[str, int, int], None]  #: Arguments: upstream name, its start in ms, time.
+    record_drain: Callable[[str, int, int], None]  #: Arguments: upstream name, its start (ms), time (us).
     start_serving: Callable[[], None]
     parent_ended: Callable[[], None]
 
@@ -91,7 +91,7 @@
                 self._start_serving()
 
     def _check_readiness(self, now_us: int) -> None:
-        # without these results, clients would be served badly; until then the parent serves them
+        # without an endpoint list and health checks it would serve clients badly; until then the parent does
         if self.phase is SuccessorPhase.SERVING:
             return
         self._timers.schedule(now_us + READINESS_CHECK_INTERVAL_US, self._check_readiness)
--- a/limerudder/core/lifecycle/resource_sharing.py
+++ b/limerudder/core/lifecycle/resource_sharing.py
@@ -26,10 +26,10 @@
         self._upstreams = upstreams
         self._admission = admission
         self._dispatch = services.dispatch
-        self._other_process_upstreams: set[str] = set()  # upstreams connected to the other process
+        self._other_process_upstreams: set[str] = set()  # upstreams that the other process is connected to
 
     def usage(self) -> ProcessUsage:
-        """Return this process's client descriptors and its connections per upstream."""
+        """Return this process's descriptors of clients and attempts, and its connections per upstream."""
         connections = Counter(
             connection.upstream.name
             for connection in self._requests.values()
@@ -38,7 +38,7 @@
         return ProcessUsage(self._admission.descriptors_in_use(), dict(connections))
 
     def set_other_process_usage(self, usage: ProcessUsage, now_us: int) -> None:
-        """Reserve the other process's descriptors and report its connections to the policy."""
+        """Reserve the other process's descriptors; the policy counts its connections as this node's."""
         self._admission.set_other_process_descriptors(usage.descriptors)
         for name in self._other_process_upstreams | usage.connections_by_upstream.keys():
             upstream = self._upstreams.by_name.get(name)
