--- a/limerudder/core/invariants.py
+++ b/limerudder/core/invariants.py
@@ -121,7 +121,7 @@
     def attempt_ended(
         self, connection: ProxiedConnection, outcome: AttemptOutcome, report: tuple[float, ...], now_us: int
     ) -> None:
-        """Check that an ended attempt is closed; record that its request may have been executed."""
+        """Check that an ended attempt is closed; record its send if the request may have been executed."""
         attempt = self.last_attempts.get(connection.number)
         require(attempt is None or attempt.ended, "an attempt that has ended is still open")
         require(
--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -80,7 +80,7 @@
         self.log = log
         self.on_shutdown_complete: Callable[[], None] = lambda: None
         self._has_started = False
-        self.config_reloaded = False  # discovery's address then comes from the file, not from the environment
+        self.config_reloaded = False  # whether discovery's address comes from the file, not the environment
         self.report_fields = self.settings.report_fields if self.settings.report_via != "none" else ()
         self.timer_wheel = TimerWheel(self.settings.tick_us, now_us)
         self.counters = Counters()
@@ -186,7 +186,7 @@
     def _check_health(self, action: CheckHealth, now_us: int) -> None:
         if self._has_started:
             self.health_checker.check(action, now_us)
-        else:  # loading many endpoints delays the check beyond its time-out
+        else:  # while many endpoints are loaded, the check would time out before it is sent
             self.timer_wheel.schedule(now_us, partial(self.health_checker.check, action))
 
     def _watch_endpoints(self, action: WatchEndpoints, now_us: int) -> None:
@@ -284,7 +284,7 @@
         self.timer_wheel.schedule(0, partial(self._set_turn_ownership, False))
 
     def acquire_turns(self, delay_us: int = 0) -> None:
-        """Use this node's turns at upstreams in slow start after a delay, when no other process does."""
+        """Use this node's turns at upstreams in slow start after a delay; by then no other process does."""
 
         def schedule(now_us: int) -> None:
             self.timer_wheel.schedule(now_us + delay_us, partial(self._set_turn_ownership, True))
--- a/limerudder/core/operations/console.py
+++ b/limerudder/core/operations/console.py
@@ -56,7 +56,7 @@
 
     def __init__(self, timer_wheel: TimerWheel, counters: Counters) -> None:
         self.timer_wheel = timer_wheel
-        self.sessions: dict[ConsoleSession, None] = {}  # sorted by time of connection
+        self.sessions: dict[ConsoleSession, None] = {}  # in order of connection
         self._counters = counters
         self._calls: dict[str, RegisteredCall] = {}
 
@@ -113,7 +113,7 @@
         self._timer = ResettableTimer(console.timer_wheel)
 
     def connection_made(self, transport: Transport, now_us: int) -> None:
-        """Admit the session and start its time-out."""
+        """Admit the session and start its timeout."""
         self.transport = transport
         self._console.admit(self)
         self._timer.set(now_us + CALL_TIMEOUT_US, lambda _: self.close())
--- a/limerudder/core/operations/maintenance.py
+++ b/limerudder/core/operations/maintenance.py
@@ -10,7 +10,8 @@
 
 from limerudder.core.timer_wheel import TimerWheel
 
-MARKS_CHECK_INTERVAL_US = 100_000  #: Short enough to apply a call well within the drain grace period.
+#: Interval of reading the marks; all processes apply a call well within the grace period for drains.
+MARKS_CHECK_INTERVAL_US = 100_000
 
 
 class MaintenanceMarks(Protocol):
--- a/limerudder/core/operations/traffic_log.py
+++ b/limerudder/core/operations/traffic_log.py
@@ -15,7 +15,7 @@
 
 MICROSECONDS_PER_MILLISECOND = 1000
 
-MAX_HOST_LINES = 10  #: Limit per endpoint list; if more hosts changed, one line counts their states.
+MAX_HOST_LINES = 10  #: Maximum number of lines per endpoint list; more changes are counted in one line.
 
 #: Outcomes of attempts and connections that ended without a failure.
 EXPECTED_OUTCOMES = frozenset({AttemptOutcome.OK, AttemptOutcome.CANCELLED})
@@ -39,10 +39,10 @@
     def hosts_changed(self, changes: Sequence[HostChange], now_us: int) -> None:
         """Log the current states of hosts and the time since their start.
 
-        A host that is ready and warm is not logged. Many changes at once, as in the first list, are counted
-        in one line.
+        A host that is ready and warm is the normal case, and not logged. Many changes at once, as in the
+        first list, are counted in one line.
         """
-        logged = [change for change in changes if not self._is_ordinary(change, now_us)]
+        logged = [change for change in changes if not self._is_ready_and_warm(change, now_us)]
         if len(logged) > MAX_HOST_LINES:
             counts = Counter(change.state.name.lower() for change in logged)
             text = ", ".join(f"{count} {state}" for state, count in sorted(counts.items()))
@@ -51,7 +51,7 @@
         for change in logged:
             self._host_changed(change, now_us)
 
-    def _is_ordinary(self, change: HostChange, now_us: int) -> bool:
+    def _is_ready_and_warm(self, change: HostChange, now_us: int) -> bool:
         is_warm = now_us - change.ready_since_us >= self._warm_up_us
         return change.state == ServerState.READY and is_warm
 
--- a/limerudder/core/policy_dispatch.py
+++ b/limerudder/core/policy_dispatch.py
@@ -69,7 +69,7 @@
             return
         self._is_dispatching = True
         try:
-            self._drain(now_us)
+            self._dispatch_pending(now_us)
         finally:  # reset even if an action raises, or no event would be dispatched again
             self._is_dispatching = False
 
@@ -81,7 +81,7 @@
             self._log_exception(exc)
             return False
 
-    def _drain(self, now_us: int) -> None:
+    def _dispatch_pending(self, now_us: int) -> None:
         pending_events = self._pending_events
         while pending_events:
             event = pending_events.popleft()
--- a/limerudder/core/transport.py
+++ b/limerudder/core/transport.py
@@ -13,7 +13,8 @@
 Address = tuple[str, int]
 MAX_DATAGRAM_BYTES = 256  #: The platform's size limit for a datagram to a peer.
 _MAX_PORT = 65535
-MAX_CACHED_ADDRESSES = 4096  #: Endpoint lists repeat addresses; parsing one is most of an entry's cost.
+#: Cache size for parsed addresses, which lists repeat; parsing one is most of the cost of a list's entry.
+MAX_CACHED_ADDRESSES = 4096
 
 
 @lru_cache(MAX_CACHED_ADDRESSES)
