--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -38,7 +38,7 @@
     ],
     ids=lambda value: str(value)[:20],
 )
-def test_a_failed_attempt_is_closed_before_the_next_one(
+def test_an_attempt_that_fails_is_closed_before_the_next(
     tmp_path: Path, failure: str, ending: AttemptOutcome
 ) -> None:
     testbed = node_testbed(tmp_path)
@@ -114,7 +114,7 @@
         assert (transport.reading_paused, attempt.reading_paused) == (paused, paused)
 
 
-def test_a_dial_to_an_upstream_that_begins_to_drain_is_cancelled(tmp_path: Path) -> None:
+def test_a_dial_to_an_upstream_that_begins_to_drain_is_given_up(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     testbed.send_request()
     (attempt,) = testbed.attempts()
