--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -24,7 +24,7 @@
     assert migrated[6] == 0, "connections stay at first, since other nodes may be stopping too"
     assert 0 < migrated[11] < 30
     assert migrated[19] == 30
-    assert completed_at and completed_at[0] < started_us + 2_700_000, "the earliest SIGKILL"
+    assert completed_at and completed_at[0] < started_us + 2_700_000, "complete before the earliest SIGKILL"
 
 
 def test_graceful_shutdown_answers_every_request(tmp_path: Path) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -45,7 +45,8 @@
     "writing_paused",
 ]
 LISTED_STATES = [ServerState.READY] * 4 + [ServerState.DRAINING] * 2 + [ServerState.GONE]
-RECENT_COUNT = 3  # events go to one of this many latest clients, which most likely still wait
+# Events go to one of this many latest clients, since a client that may still be waiting matters most.
+RECENT_COUNT = 3
 
 
 def pick_recent(items: Sequence[Item], index: int) -> Item:
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("listed_meanwhile", ["nothing", "ready", "restarted", "gone and back"])
-def test_a_host_in_maintenance_gets_nothing_new_whatever_discovery_lists(
+def test_a_host_in_maintenance_gets_no_requests_regardless_of_discovery(
     tmp_path: Path, listed_meanwhile: str
 ) -> None:
     testbed = node_testbed(tmp_path)
