--- a/limerudder/core/discovery/start_times.py
+++ b/limerudder/core/discovery/start_times.py
@@ -21,7 +21,7 @@
 class ListedStart(NamedTuple):
     """An upstream's last start as discovery lists it: Unix time in milliseconds, 0 for long ago."""
 
-    host: str
+    upstream: str
     started_ms: int
 
 
@@ -44,14 +44,16 @@
             lag_us = now_us - start.started_ms * _MICROSECONDS_PER_MILLISECOND
             self._min_lag_us = lag_us if self._min_lag_us is None else min(self._min_lag_us, lag_us)
         for start in new_starts:
-            self._observed[start.host] = _ObservedStart(start.started_ms, self._local_start_us(start, now_us))
+            self._observed[start.upstream] = _ObservedStart(
+                start.started_ms, self._local_start_us(start, now_us)
+            )
 
-    def local_us(self, host: str, started_ms: int) -> int:
+    def local_us(self, upstream: str, started_ms: int) -> int:
         """Return the local time of a start that was observed before, or 0 for long ago."""
-        return self._observed[host].local_us if started_ms else 0
+        return self._observed[upstream].local_us if started_ms else 0
 
     def _is_new(self, start: ListedStart) -> bool:
-        observed = self._observed.get(start.host)
+        observed = self._observed.get(start.upstream)
         return observed is None or observed.started_ms != start.started_ms
 
     def _local_start_us(self, start: ListedStart, now_us: int) -> int:
--- a/limerudder/core/policy_dispatch.py
+++ b/limerudder/core/policy_dispatch.py
@@ -73,10 +73,10 @@
         finally:  # reset even if an action raises, or no event would be dispatched again
             self._is_dispatching = False
 
-    def confirm_send(self, request_number: int, server_number: int, now_us: int) -> bool:
-        """Return whether the policy allows writing a request to a server now; False if the policy raises."""
+    def confirm_send(self, request_number: int, upstream_number: int, now_us: int) -> bool:
+        """Return whether the policy allows writing a request to an upstream; False if the policy raises."""
         try:
-            return self._policy.confirm_send(request_number, server_number, now_us)
+            return self._policy.confirm_send(request_number, upstream_number, now_us)
         except Exception as exc:  # other requests must not be affected
             self._log_exception(exc)
             return False
--- a/limerudder/core/requests/attempt_runner.py
+++ b/limerudder/core/requests/attempt_runner.py
@@ -64,13 +64,16 @@
             self._report_obsolete(connection, attempt_number, action.server_id, now_us)
 
     def _report_obsolete(
-        self, connection: ProxiedConnection, attempt_number: int, server: int, now_us: int
+        self, connection: ProxiedConnection, attempt_number: int, upstream_number: int, now_us: int
     ) -> None:
         self._counters.increment(CounterName.ATTEMPTS_OBSOLETE)
         has_final_answer = int(connection.has_final_answer)
         outcome = AttemptOutcome.OBSOLETE
         self._dispatch(
-            AttemptEnded(connection.number, attempt_number, server, outcome, 0, has_final_answer, ()), now_us
+            AttemptEnded(
+                connection.number, attempt_number, upstream_number, outcome, 0, has_final_answer, ()
+            ),
+            now_us,
         )
 
     def cancel(self, action: CancelAttempt, now_us: int) -> None:
--- a/limerudder/core/requests/send_guard.py
+++ b/limerudder/core/requests/send_guard.py
@@ -15,7 +15,7 @@
 from limerudder.policy.events import ServerState
 from limerudder.policy.settings import Settings
 
-#: Policy check before a request is written to a server; takes request, server and time in microseconds.
+#: Policy check before a request is written; takes the numbers of request and upstream, and the time (us).
 ConfirmSend = Callable[[int, int, int], bool]
 
 #: Maximum time from the guard's approval to the last byte; covers a stalled process and a blocked write.
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -403,7 +403,7 @@
         service.close()
 
 
-async def a_restarted_process_serves_whatever_discovery_does(
+async def a_restarted_process_serves_regardless_of_discovery(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
     """Discovery sends nothing or closes the connection; PONG and the previous list do not depend on it."""
@@ -439,7 +439,7 @@
     a_reload_drops_a_partly_received_list,
     a_flood_from_a_client_that_disconnects_is_bounded,
     idle_clients_cannot_exhaust_descriptors_while_discovery_is_down,
-    a_restarted_process_serves_whatever_discovery_does,
+    a_restarted_process_serves_regardless_of_discovery,
 ]
 
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -11,9 +11,9 @@
 HOUR_US = 3600 * SECOND
 
 
-def listed(host: str, started_ago_us: int) -> ListedStart:
+def listed(upstream: str, started_ago_us: int) -> ListedStart:
     """Return a start as listed by discovery, whose clock is correct."""
-    return ListedStart(host, (NOW_US - started_ago_us) // 1000)
+    return ListedStart(upstream, (NOW_US - started_ago_us) // 1000)
 
 
 @pytest.mark.parametrize("clock_ahead_us", [0, HOUR_US, -HOUR_US, 7 * SECOND, -7 * SECOND])
