--- a/limerudder/core/policy_dispatch.py
+++ b/limerudder/core/policy_dispatch.py
@@ -69,19 +69,19 @@
             return
         self._is_dispatching = True
         try:
-            self._drain(now_us)
+            self._dispatch_pending(now_us)
         finally:  # reset even if an action raises, or no event would be dispatched again
             self._is_dispatching = False
 
-    def confirm_send(self, request_number: int, server_number: int, now_us: int) -> bool:
-        """Return whether the policy allows writing a request to a server now; False if the policy raises."""
+    def confirm_send(self, request_number: int, upstream_number: int, now_us: int) -> bool:
+        """Return whether the policy allows writing a request to an upstream; False if the policy raises."""
         try:
-            return self._policy.confirm_send(request_number, server_number, now_us)
+            return self._policy.confirm_send(request_number, upstream_number, now_us)
         except Exception as exc:  # other requests must not be affected
             self._log_exception(exc)
             return False
 
-    def _drain(self, now_us: int) -> None:
+    def _dispatch_pending(self, now_us: int) -> None:
         pending_events = self._pending_events
         while pending_events:
             event = pending_events.popleft()
--- a/limerudder/core/requests/attempt_runner.py
+++ b/limerudder/core/requests/attempt_runner.py
@@ -64,13 +64,16 @@
             self._report_obsolete(connection, attempt_number, action.server_id, now_us)
 
     def _report_obsolete(
-        self, connection: ProxiedConnection, attempt_number: int, server: int, now_us: int
+        self, connection: ProxiedConnection, attempt_number: int, upstream_number: int, now_us: int
     ) -> None:
         self._counters.increment(CounterName.ATTEMPTS_OBSOLETE)
         has_final_answer = int(connection.has_final_answer)
         outcome = AttemptOutcome.OBSOLETE
         self._dispatch(
-            AttemptEnded(connection.number, attempt_number, server, outcome, 0, has_final_answer, ()), now_us
+            AttemptEnded(
+                connection.number, attempt_number, upstream_number, outcome, 0, has_final_answer, ()
+            ),
+            now_us,
         )
 
     def cancel(self, action: CancelAttempt, now_us: int) -> None:
@@ -164,7 +167,7 @@
             self._traffic_log.request_sent(request_id, upstream.name, upstream.ready_since_us, now_us)
 
     def attempt_established(self, connection: ProxiedConnection, now_us: int) -> None:
-        """Start to relay between client and upstream, unless the client has disconnected."""
+        """Start to relay between client and upstream, unless the request is already finished."""
         attempt = connection.attempt
         upstream = connection.upstream
         if attempt is None or upstream is None:
