--- a/limerudder/policy/capacity_reference.py
+++ b/limerudder/policy/capacity_reference.py
@@ -20,13 +20,13 @@
     def __init__(self) -> None:
         self._rate = RateEstimator(RATE_WINDOW_US)  # rate of connections that servers accepted
         self._started_at_us: int | None = None  # start of this process, if it inherited connections
-        self._ready_version = 0  # version of the set of ready servers; 0 before the first list
+        self._ready_version = 0  # version of the set of ready servers; 0 before the first one is ready
         self._weight = 0.0
         self._disturbed_until_us = 0
         self._undisturbed_rate = 0.0  # rate per weight before the disturbance
 
     def measure_from(self, started_at_us: int) -> None:
-        """Measure the rate from the start of this process on, which started together with its traffic.
+        """Measure the rate from the start of this process, whose traffic began with inherited connections.
 
         Any other process is treated as having had no traffic before it started. Otherwise the first second of
         processes that start during a wave of clients would count as their usual rate.
@@ -40,8 +40,9 @@
     def update_servers(self, ready_version: int, weight: float, warm_from_us: int, now_us: int) -> None:
         """Update the set of ready servers.
 
-        `ready_version` changes with each change of the set, and is 0 before the first list. `weight` is the
-        total weight of the set. `warm_from_us` is the time at which no server is in slow start any more.
+        `ready_version` changes with each change of the set, and is 0 before the first server is ready.
+        `weight` is the total weight of the set. `warm_from_us` is the time from which no server is in slow
+        start.
         """
         is_first_list = not self._ready_version
         if (ready_version != self._ready_version and not is_first_list) or warm_from_us > now_us:
--- a/limerudder/policy/discovery_polling.py
+++ b/limerudder/policy/discovery_polling.py
@@ -7,7 +7,7 @@
 from limerudder.policy.discovery_timing import Backoff
 from limerudder.policy.timers import TimerToken
 
-#: Fraction of the poll interval until the next renewal, drawn anew each time so that nodes spread out.
+#: Range of the time until the next renewal as a fraction of the poll interval; random to spread the nodes.
 RENEWAL_FRACTIONS = (0.7, 0.9)
 
 
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -27,7 +27,7 @@
 
 MAX_COST_SHARE = 0.02  #: Maximum share of the result that shared reports may cost
 MAX_NODES_WITHOUT_GOSSIP = 6  #: Tier size up to which each node sees enough of every server by itself
-#: Delay between the take-overs of successive nodes: a round of health checks and a late datagram.
+#: Delay between the take-overs of successive nodes; covers a round of health checks and a late datagram.
 TAKEOVER_STEP_US = SECOND // 10
 MIN_ROUND_INTERVAL_US = SECOND
 MAX_ROUND_INTERVAL_US = 8 * SECOND  #: With a longer interval, reports would not show the current load
@@ -46,7 +46,7 @@
 MAX_ENCODED_RATE = 0xFFFF
 MAX_ENCODED_BYTE = 0xFF
 
-_AMBIGUOUS = -1  #: Replaces the id of a server that shares the bits that a row carries with another one
+_AMBIGUOUS = -1  #: Placeholder id for low bits that no server has or that several servers share
 
 
 class ConnectionRates(NamedTuple):
--- a/limerudder/policy/interface.py
+++ b/limerudder/policy/interface.py
@@ -1,4 +1,4 @@
-"""The interface between a connection policy and the node, or the simulator, that hosts it."""
+"""The interface between a connection policy and the node, or the simulator, that runs it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConnectionPolicy(Protocol):
-    """Methods that a connection policy provides to its host. Times are whole microseconds."""
+    """Methods that a connection policy provides to the code that runs it. Times are whole microseconds."""
 
     def handle(self, event: Event, now_us: int, /) -> list[Action]:
         """Handle one event and return the actions, to be executed in order."""
--- a/limerudder/policy/load_inference.py
+++ b/limerudder/policy/load_inference.py
@@ -40,7 +40,8 @@
 MAX_SLOPE_INTERVAL_US = 3 * SECOND
 RESET_PAIR_INTERVAL_US = SECOND  #: Two resets within this time are not attributed to chance
 NODE_LOAD_INTERVAL_US = SECOND // 4  #: Interval between two sums over all of this node's connections
-ROOM_SHARING_US = 4 * SECOND  #: Time without samples after which nodes no longer divide a server's room
+#: Time without samples after which nodes no longer divide a server's spare capacity.
+SPARE_CAPACITY_SHARING_US = 4 * SECOND
 
 # Decay of the other nodes' load on a server without samples
 DECAY_PER_SECOND = 0.04  #: Share lost per second
@@ -215,7 +216,7 @@
         # The other nodes' load is unknown: each is assumed to have as much load as this one.
         return own_load + self._node_load * (self._node_count - 1) * server.weight / self._fleet_weight
 
-    # Capacity and room
+    # Capacity
 
     def capacity(self, server: Server, now_us: int) -> float:
         """Return a server's capacity; 0 if it is unknown."""
@@ -246,9 +247,9 @@
                 is_unbounded = self.has_load_data or level == math.inf
                 level = math.inf if is_unbounded else MAX_ASSUMED_LOAD
             return self.total_load(server, now_us) + added_load <= level * capacity
-        return self._measured_room(server, level, capacity, now_us) >= added_load
+        return self._spare_capacity(server, level, capacity, now_us) >= added_load
 
-    def _measured_room(self, server: Server, level: float, capacity: float, now_us: int) -> float:
+    def _spare_capacity(self, server: Server, level: float, capacity: float, now_us: int) -> float:
         """Return the load that this node may add to a server whose message latency is known."""
         sample_age_us = now_us - server.latency_sample_at_us
         permitted_load = min(TARGET_LOAD, level)
@@ -259,8 +260,8 @@
             latency_us = server.latency_sample[0]
             if latency_us > self._min_objective_us:
                 permitted_load = self.permitted_load(latency_us) - ADMISSION_MARGIN
-        # All nodes see the same latency at the same time, so each may use only its share of the room.
-        sharing_nodes = max(self._node_count * (1 - sample_age_us / ROOM_SHARING_US), 1)
+        # All nodes see the same latency at the same time, so each may use only its share of what is spare.
+        sharing_nodes = max(self._node_count * (1 - sample_age_us / SPARE_CAPACITY_SHARING_US), 1)
         return (permitted_load * capacity - self.total_load(server, now_us)) / sharing_nodes
 
     def estimate(self, server: Server, now_us: int) -> float | None:
--- a/limerudder/policy/outlier_detection.py
+++ b/limerudder/policy/outlier_detection.py
@@ -69,7 +69,7 @@
             server.slow_until_us = self.context.clock.now_us + LATENCY_SAMPLE_LIFETIME_US
 
     def on_attempt_ended(self, server: Server, connection: Connection, outcome: int) -> None:
-        """Eject the server or limit its connections, by the outcome of a detached attempt or connection."""
+        """Eject a server or limit its connections after an attempt or connection was detached from it."""
         if outcome in NEUTRAL_OUTCOMES or server.state != ServerState.READY:
             return
         connection_was_reset = outcome == AttemptOutcome.RESET and connection.answered
@@ -88,7 +88,7 @@
         server.connection_limit_set_at_us = self.context.clock.now_us
 
     def _is_shared_fault(self, outcome: int) -> bool:
-        """Whether a failure is attributed to a shared dependency of all servers, so connects are paced."""
+        """Whether a failure is attributed to a dependency that all servers share; attempts are then paced."""
         if outcome not in (AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT):
             return False
         rate_is_unknown = (
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -134,7 +134,7 @@
         return self._rng.random() > probability
 
     def _acquire_gossip_migration(self) -> bool:
-        """Whether the store shared by all connects can sustain one more migration while all nodes migrate."""
+        """Whether the store shared by all attempts can sustain one more migration while all nodes migrate."""
         rate = PACED_RATE_FACTOR * self._rates.usual_fresh_rate(self._gossip)
         return self._gossip_migrations.try_acquire(self._clock.now_us, rate)
 
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -104,7 +104,7 @@
     def _migratable_connections(self) -> list[Connection]:
         """Return the connections in other zones.
 
-        Returns none while connects fail everywhere, or without load data: filled by a guess, the servers of
+        Returns none while attempts fail everywhere, or without load data: filled by a guess, the servers of
         a zone may be overloaded without ever being detected.
         """
         if self._pacer.interval_us or not self._loads.has_load_data:
@@ -150,7 +150,7 @@
     def _migration_interval_us(self) -> int:
         """Return the time between migrations, derived from the usual rate of requests.
 
-        Migrated at once, all nodes' clients would overload the store shared by all connects: it sustains a
+        Migrated at once, all nodes' clients would overload the store shared by all attempts: it sustains a
         few times the usual rate, and connections that break by themselves need capacity there too.
         """
         interval_us = int(SECOND / (PACED_RATE_FACTOR * self._rates.usual_request_rate()))
--- a/limerudder/policy/records.py
+++ b/limerudder/policy/records.py
@@ -131,7 +131,7 @@
         self.connection_limit_set_at_us = 0
         self.consecutive_failures = 0
         self.ejected_until_us = 0
-        self.slow_until_us = 0  # End of avoidance after slow responses
+        self.slow_until_us = 0  # End of avoidance after slow messages, health checks or attempts
 
     def _reset_reports(self) -> None:
         #: Demand on the server as a share of its capacity, smoothed over its reports.
@@ -189,7 +189,7 @@
         self.tried_servers: list[Server] = []
         self.possibly_executed: PossibleExecution | None = None
         self.candidates_polled = False  # Reports of candidate servers were requested
-        self.paced_start_us = 0  # Earliest start of the next attempt while connects are paced
+        self.paced_start_us = 0  # Earliest start of the next attempt while attempts are paced
         self.permit: Permit | None = None  # Permit of a pending attempt at a server in slow start
 
 
--- a/limerudder/policy/reported_loads.py
+++ b/limerudder/policy/reported_loads.py
@@ -141,7 +141,7 @@
         self, servers: Sequence[Server], node_count: int, counts_own_only: bool, now_us: int
     ) -> None:
         # Counts reported by the servers are preferred: a node that has just restarted has few connections,
-        # so from its own count it would overestimate the load of each one dozens of times.
+        # so from its own count it would overestimate the load of each one by a factor of dozens.
         if self._reports_connections:
             all_connections = sum(server.reported_connections for server in servers)
         else:
@@ -161,7 +161,7 @@
             self.connections_per_weight = sum(server.load_report[1] for server in warm) / load
 
     def estimate(self, server: Server, now_us: int) -> float | None:
-        """Return the server's load: as last reported, adjusted for this node's connections since then.
+        """Return the server's load: as last reported, with the connections this node added or lost since.
 
         None if no report is recent enough: a server must not be excluded permanently when its reports stop.
         """
--- a/limerudder/policy/retry.py
+++ b/limerudder/policy/retry.py
@@ -24,7 +24,8 @@
 
 PENDING_RETRY_INTERVAL_US = SECOND // 10  #: Selection interval of a request that waits for capacity
 RETRY_AFTER_US = SECOND  #: Retry-After sent to rejected clients
-MIN_TIME_LEFT_TICKS = 2  #: Minimum time before the deadline at the start of an attempt
+#: Minimum time before the deadline to start an attempt; with less, it could not end in time.
+MIN_TIME_LEFT_TICKS = 2
 
 
 @dataclass(eq=False, repr=False)
@@ -151,7 +152,7 @@
     def _attempt_timeout_us(self, connection: Connection) -> int:
         """Return the timeout of an attempt: about half of the time left, or all of it for the last attempt.
 
-        After a wave of clients, connects are slow because the servers share an overloaded store. Cancelling
+        After a wave of clients, attempts are slow because the servers share an overloaded store. Cancelling
         them at the latency objective and retrying would double the work and delay them further. A late start
         is acceptable, since a connection has its value over its whole lifetime.
         """
--- a/limerudder/policy/selection.py
+++ b/limerudder/policy/selection.py
@@ -75,7 +75,7 @@
         return list(islice((s for s in servers if zone is None or zone == s.zone), CHOICES))
 
     def sample(self, servers: list[Server]) -> list[Server]:
-        """Return a random sample of servers, weighted by spare capacity, heavier ones tending to come first.
+        """Return a random sample of servers, in which those with more spare capacity tend to come first.
 
         Weighted random sampling after Efraimidis and Spirakis. With uniform sampling, small servers would be
         full while large ones are idle. Always choosing the servers with the most spare capacity would not
@@ -109,7 +109,7 @@
         )
 
     def may_join(self, connection: Connection, server: Server) -> bool:
-        """Whether the rules allow the server: ready, not tried, safe to retry at, and not in slow start."""
+        """Whether the rules allow the server: ready, not tried, safe to retry at, slow start permits it."""
         if server.state != ServerState.READY or server in connection.tried_servers:
             return False
         if connection.possibly_executed is not None:
--- a/limerudder/policy/slow_start_schedule.py
+++ b/limerudder/policy/slow_start_schedule.py
@@ -62,6 +62,6 @@
 
 
 def _radical_inverse(value: int) -> float:
-    """Return an element of the van der Corput sequence, which spreads evenly over [0, 1)."""
+    """Return an element of the van der Corput sequence; successive ones spread evenly over [0, 1)."""
     reversed_bits = int(f"{value & ((1 << _PHASE_BITS) - 1):0{_PHASE_BITS}b}"[::-1], 2)
     return reversed_bits / (1 << _PHASE_BITS)
--- a/limerudder/policy/traffic_rates.py
+++ b/limerudder/policy/traffic_rates.py
@@ -6,7 +6,7 @@
 from limerudder.policy.gossip import LoadGossip
 from limerudder.policy.records import SECOND, RateEstimator
 
-#: Time over which existing connections count as requests; both earn credit for health checks.
+#: Time after the start in which existing connections count as requests and earn health checks as they do.
 EXISTING_CONNECTIONS_WINDOW_US = 60 * SECOND
 #: Maximum mean lifetime of a connection, which limits the age of those that existed at the start.
 MAX_MEAN_CONNECTION_LIFETIME_US = 300 * SECOND
@@ -43,7 +43,10 @@
         return self._fresh_requests.read(self._clock.now_us, self._clock.started_at_us)
 
     def usual_fresh_rate(self, gossip: LoadGossip) -> float:
-        """Return the mean `fresh_rate` of the tier's nodes, or the rate that existing connections suggest."""
+        """Return the mean `fresh_rate` of the tier's nodes, or of this node without gossip.
+
+        The result is at least the rate that existing connections suggest.
+        """
         clock = self._clock
         fresh_rate = gossip.mean_fresh_rate if gossip.is_active(clock.now_us) else self.fresh_rate()
         existing_rate = 0.0
--- a/tests/test_overload_relief.py
+++ b/tests/test_overload_relief.py
@@ -24,7 +24,7 @@
         driver.deliver(LoadSample(request_id, 1, 1000.0, 0))
         driver.deliver(LatencySample(request_id, 1, 2000.0, 0))
         migrations += len(driver.actions_of_type(MigrateClient))
-    assert 30 < migrations < 95  # about three tenths of 200
+    assert 30 < migrations < 95  # expected: three tenths of 200
 
 
 def test_relief_migrates_the_costliest_connections_once_for_the_same_overload() -> None:
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -66,7 +66,7 @@
 
 
 def test_independent_nodes_select_the_same_servers_for_a_group() -> None:
-    """In a large tier most nodes have no connection of a group; random selection would use all servers."""
+    """In a large tier no node has connections of a group; sampling would repeat its work at all servers."""
     selected = []
     for seed in range(40):
         driver = Driver(WITHOUT_REPORTS, seed, server_entries(50))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -46,7 +46,7 @@
     200: FleetSize(60, 80.0),
 }
 LARGE_FLEET_NODE_COUNT = 30  #: Fleets with more nodes are simulated for less time
-MEAN_CONNECTION_SECONDS = 60.0  #: A restart makes the clients of one minute reconnect at once
+MEAN_CONNECTION_SECONDS = 60.0  #: Mean lifetime; a restart makes the clients of one minute reconnect at once
 
 Disturbance = Callable[[SlowStartFleet], None]
 
--- a/tests/test_slow_start_processes.py
+++ b/tests/test_slow_start_processes.py
@@ -1,4 +1,4 @@
-"""Issue 33 on real processes: requests of all nodes to a restarted host while their clocks are wrong."""
+"""Issue 33 on real processes: requests of all nodes to a restarted host, with right and wrong clocks."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def restart_amid_stepped_clocks(tier: MultiProcessTier, library: Path, step_ms: int) -> float:
-    """Restart a host, then all nodes with stepped clocks; return the share used of the fullest window."""
+    """Restart a host, then all nodes with stepped clocks; return `fullest_window_share` of the host."""
     await tier.start()
     tier.start_clients(CLIENTS)
     warm_from = time.monotonic()
