--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -187,7 +187,7 @@
         self.round_interval_us = int(max(min(affordable_us, MAX_ROUND_INTERVAL_US), min_interval_us))
 
     def next_turn_us(self) -> int:
-        """When this node has to poll its servers, unless another node's round arrives first."""
+        """Return when this node has to poll its servers, unless another node's round arrives first."""
         turn_interval_us = self.round_interval_us // self._turns_per_round
         interval_us = turn_interval_us * (self.rounds_recorded > 0)
         distance = (self._node_index - self._last_sender - 1) % self._node_count
--- a/limerudder/policy/load_events.py
+++ b/limerudder/policy/load_events.py
@@ -32,13 +32,13 @@
     overload_relief: OverloadRelief
 
     def on_load_sample(self, event: events.LoadSample) -> None:
-        """An established connection has reported its load."""
+        """Record the load that an established connection has reported."""
         connection = self.connections.find_attempt(event)
         if connection is not None and event.load_us_per_second >= 0:
             self.loads.record_connection_load(connection, event.load_us_per_second)
 
     def on_latency_sample(self, event: events.LatencySample) -> None:
-        """The latency of a message on an established connection has been sampled."""
+        """Handle the sampled latency of a message on an established connection."""
         connection = self.connections.find_attempt(event)
         if connection is None or connection.server is None:
             return
@@ -51,7 +51,7 @@
             self.overload_relief.on_slow_message(server)
 
     def on_health_check_result(self, event: events.HealthCheckResult) -> None:
-        """A health check has ended, usually with a load report."""
+        """Handle the result of a health check, which usually includes a load report."""
         server = self.registry.servers.get(event.server_id)
         if server is None:
             return
@@ -61,7 +61,7 @@
             self._on_load_report(server, *report)
 
     def on_peer_message(self, event: events.PeerMessage) -> None:
-        """A peer has sent the load reports of its gossip round."""
+        """Handle the load reports that a peer has sent in its gossip round."""
         for report in self.gossip_exchange.receive(event):
             self._on_load_report(*report)
 
--- a/limerudder/policy/load_inference.py
+++ b/limerudder/policy/load_inference.py
@@ -22,7 +22,7 @@
 from limerudder.policy.settings import Settings
 
 # Shares of a server's capacity
-QUOTA_SHARE_OF_CAPACITY = 0.82  #: Approximate sum of all tenants' quotas over the fleet's capacity
+QUOTA_SHARE_OF_CAPACITY = 0.82  #: Approximate sum of the tenants' quotas as a share of the fleet's capacity
 MAX_UNDELAYED_LOAD = 0.85  #: Maximum load of a server whose messages are not slow
 TARGET_LOAD = 0.9  #: Maximum load that is placed on a server
 MIN_RETAINED_LOAD = 0.7  #: Minimum load left at a server with a backlog, so that others are not overloaded
@@ -33,7 +33,7 @@
 MAX_ASSUMED_LOAD = 1.0  #: Load above which a server is selected last where capacities are only assumed
 
 # Times
-BACKLOG_DRAIN_US = SECOND  #: Time in which a backlog is to be worked off
+BACKLOG_WORK_OFF_US = SECOND  #: Time in which a backlog is to be worked off
 #: Slow messages give one sample per second: a server without samples for this long has no slow messages.
 SAMPLE_SILENCE_US = 3 * SECOND // 2
 MIN_SLOPE_INTERVAL_US = 7 * SECOND // 10  #: Minimum interval between two samples for a slope
@@ -166,7 +166,7 @@
         server.reset_at_us = now_us
         if not is_second or not self._mean_load:
             return
-        server.latency_sample = (BACKLOG_DRAIN_US, now_us)
+        server.latency_sample = (BACKLOG_WORK_OFF_US, now_us)
         server.latency_sample_at_us = now_us
         others_load = MIN_RESET_LOAD * self.capacity(server, now_us) - self.own_load(server)
         server.other_nodes_load = max(server.other_nodes_load, others_load)
@@ -228,7 +228,7 @@
 
     def permitted_load(self, latency_us: float) -> float:
         """Return the permitted load of a server with this message latency, as a share of its capacity."""
-        return min(TARGET_LOAD, max(MIN_RETAINED_LOAD, 1 - latency_us / BACKLOG_DRAIN_US))
+        return min(TARGET_LOAD, max(MIN_RETAINED_LOAD, 1 - latency_us / BACKLOG_WORK_OFF_US))
 
     def has_capacity(self, server: Server, level: float, connection: Connection | None, now_us: int) -> bool:
         """Whether the server's load stays within `level` of its capacity with one more connection.
