--- a/limerudder/policy/load_inference.py
+++ b/limerudder/policy/load_inference.py
@@ -22,7 +22,7 @@
 from limerudder.policy.settings import Settings
 
 # Shares of a server's capacity
-QUOTA_SHARE_OF_CAPACITY = 0.82  #: Approximate sum of all tenants' quotas over the fleet's capacity
+QUOTA_SHARE_OF_CAPACITY = 0.82  #: Approximate sum of the tenants' quotas as a share of the fleet's capacity
 MAX_UNDELAYED_LOAD = 0.85  #: Maximum load of a server whose messages are not slow
 TARGET_LOAD = 0.9  #: Maximum load that is placed on a server
 MIN_RETAINED_LOAD = 0.7  #: Minimum load left at a server with a backlog, so that others are not overloaded
@@ -33,14 +33,15 @@
 MAX_ASSUMED_LOAD = 1.0  #: Load above which a server is selected last where capacities are only assumed
 
 # Times
-BACKLOG_DRAIN_US = SECOND  #: Time in which a backlog is to be worked off
+BACKLOG_WORK_OFF_US = SECOND  #: Time in which a backlog is to be worked off
 #: Slow messages give one sample per second: a server without samples for this long has no slow messages.
 SAMPLE_SILENCE_US = 3 * SECOND // 2
 MIN_SLOPE_INTERVAL_US = 7 * SECOND // 10  #: Minimum interval between two samples for a slope
 MAX_SLOPE_INTERVAL_US = 3 * SECOND
 RESET_PAIR_INTERVAL_US = SECOND  #: Two resets within this time are not attributed to chance
 NODE_LOAD_INTERVAL_US = SECOND // 4  #: Interval between two sums over all of this node's connections
-ROOM_SHARING_US = 4 * SECOND  #: Time without samples after which nodes no longer divide a server's room
+#: Time without samples after which nodes no longer divide a server's spare capacity.
+SPARE_CAPACITY_SHARING_US = 4 * SECOND
 
 # Decay of the other nodes' load on a server without samples
 DECAY_PER_SECOND = 0.04  #: Share lost per second
@@ -165,7 +166,7 @@
         server.reset_at_us = now_us
         if not is_second or not self._mean_load:
             return
-        server.latency_sample = (BACKLOG_DRAIN_US, now_us)
+        server.latency_sample = (BACKLOG_WORK_OFF_US, now_us)
         server.latency_sample_at_us = now_us
         others_load = MIN_RESET_LOAD * self.capacity(server, now_us) - self.own_load(server)
         server.other_nodes_load = max(server.other_nodes_load, others_load)
@@ -215,7 +216,7 @@
         # The other nodes' load is unknown: each is assumed to have as much load as this one.
         return own_load + self._node_load * (self._node_count - 1) * server.weight / self._fleet_weight
 
-    # Capacity and room
+    # Capacity
 
     def capacity(self, server: Server, now_us: int) -> float:
         """Return a server's capacity; 0 if it is unknown."""
@@ -227,7 +228,7 @@
 
     def permitted_load(self, latency_us: float) -> float:
         """Return the permitted load of a server with this message latency, as a share of its capacity."""
-        return min(TARGET_LOAD, max(MIN_RETAINED_LOAD, 1 - latency_us / BACKLOG_DRAIN_US))
+        return min(TARGET_LOAD, max(MIN_RETAINED_LOAD, 1 - latency_us / BACKLOG_WORK_OFF_US))
 
     def has_capacity(self, server: Server, level: float, connection: Connection | None, now_us: int) -> bool:
         """Whether the server's load stays within `level` of its capacity with one more connection.
@@ -246,9 +247,9 @@
                 is_unbounded = self.has_load_data or level == math.inf
                 level = math.inf if is_unbounded else MAX_ASSUMED_LOAD
             return self.total_load(server, now_us) + added_load <= level * capacity
-        return self._measured_room(server, level, capacity, now_us) >= added_load
+        return self._spare_capacity(server, level, capacity, now_us) >= added_load
 
-    def _measured_room(self, server: Server, level: float, capacity: float, now_us: int) -> float:
+    def _spare_capacity(self, server: Server, level: float, capacity: float, now_us: int) -> float:
         """Return the load that this node may add to a server whose message latency is known."""
         sample_age_us = now_us - server.latency_sample_at_us
         permitted_load = min(TARGET_LOAD, level)
@@ -259,8 +260,8 @@
             latency_us = server.latency_sample[0]
             if latency_us > self._min_objective_us:
                 permitted_load = self.permitted_load(latency_us) - ADMISSION_MARGIN
-        # All nodes see the same latency at the same time, so each may use only its share of the room.
-        sharing_nodes = max(self._node_count * (1 - sample_age_us / ROOM_SHARING_US), 1)
+        # All nodes see the same latency at the same time, so each may use only its share of what is spare.
+        sharing_nodes = max(self._node_count * (1 - sample_age_us / SPARE_CAPACITY_SHARING_US), 1)
         return (permitted_load * capacity - self.total_load(server, now_us)) / sharing_nodes
 
     def estimate(self, server: Server, now_us: int) -> float | None:
