--- a/limerudder/store/commands.py
+++ b/limerudder/store/commands.py
@@ -13,7 +13,7 @@
 
 MAX_KEY_BYTES = 256
 MAX_OPERATIONS = 64  #: Maximum total of comparisons and operations per transaction
-MAX_TRANSACTION_VALUES = 4  #: Maximum bytes written per transaction, in multiples of the largest value
+MAX_TRANSACTION_VALUES = 4  #: Maximum bytes written per transaction, in multiples of the value size limit
 MAX_QUOTED_KEY_CHARACTERS = 40  #: Maximum length of a rejected key in an error message
 
 
@@ -105,7 +105,7 @@
     revision: int  # revision of the state after the command
     succeeded: bool = True  # all comparisons were true
     items: tuple[Item | None, ...] = ()  # results of the `Get` operations, in order
-    error: str = ""  # reason for not applying the command: unknown session, or an outdated serial number
+    error: str = ""  # reason for not applying the command, such as an unknown session; empty if applied
 
 
 _encode = msgspec.msgpack.Encoder().encode
--- a/limerudder/store/disk.py
+++ b/limerudder/store/disk.py
@@ -74,7 +74,7 @@
     def __init__(
         self, directory: str, identity: MemberIdentity | None = None, config: ClusterConfig | None = None
     ) -> None:
-        """Open a data directory, or create one for the given identity; raises DiskError."""
+        """Open a data directory, or create one if an identity is given; raises DiskError."""
         self.path = os.path.join(directory, DATABASE_FILE)
         self._directory = directory
         self._connection: sqlite3.Connection | None = None
@@ -111,11 +111,11 @@
     def connection(self) -> sqlite3.Connection:
         """The database; raises DiskClosedError."""
         if self._connection is None:
-            raise DiskClosedError("closed")
+            raise DiskClosedError("the data directory is closed")
         return self._connection
 
     def load(self, begin_incarnation: bool = True) -> DiskContents:
-        """Read and verify all data; `begin_incarnation` starts a new incarnation. Raises DiskError."""
+        """Read and verify all data; `begin_incarnation` records a new incarnation. Raises DiskError."""
         try:
             return self._load(begin_incarnation)
         except sqlite3.Error as error:
--- a/limerudder/store/drain_log.py
+++ b/limerudder/store/drain_log.py
@@ -6,8 +6,9 @@
 
 - a newer start of the host than the drained one: a drain is recorded with the host's start time and covers
   that start and all earlier ones. An endpoint list that shows the same start as active again has no effect;
-- an operator's `maint-off`, which ends the drains and holds recorded before the call. Those that others
-  record concurrently remain: of two conflicting facts, the one that excludes the host takes precedence.
+- an operator's `maint-off`, which ends the drains and holds that are active at this member when it is called.
+  Those that others record concurrently remain: of two conflicting facts, the one that excludes the host takes
+  precedence.
 
 This module does no I/O and reads no clock.
 """
@@ -98,7 +99,7 @@
             return HostRecord(record.drained, True, holder, record.back_at)
         case ReturnToService(_, returned_at_us, basis_revision):
             if modified_revision > basis_revision:
-                # drains and holds recorded after the operator's view of the record must remain active
+                # drains and holds recorded after `basis_revision`, unseen by the operator, remain active
                 return record
             return HostRecord(NEVER_DRAINED, False, "", max(record.back_at, returned_at_us))
     raise AssertionError("every type of fact is handled above")
--- a/limerudder/store/drain_replication.py
+++ b/limerudder/store/drain_replication.py
@@ -81,7 +81,7 @@
         self._member.write(command, now_us + WRITE_TIMEOUT_US, on_result, now_us)
 
     def _finish_write_when_applied(self, host: str, result: CommandResult, now_us: int) -> None:
-        """Deletes the facts once the write is applied here, so that they remain effective throughout."""
+        """Deletes the facts only after this member has applied the write, so that they remain effective."""
         revision = result.revision if result.succeeded else None
         self._member.when_applied(
             result.index, lambda _: self._drain_log.finish_write(host, revision), now_us
@@ -102,6 +102,6 @@
         self._member.write(OpenSession(), now_us + WRITE_TIMEOUT_US, on_result, now_us)
 
     def _discard_session(self, session_id: int) -> None:
-        """Makes the next attempt open a new session, unless one has been opened already."""
+        """Makes the next attempt replace the ended session, unless a new one has been opened already."""
         if session_id == self._session_id:
             self._session_id = NO_SESSION
--- a/limerudder/store/member.py
+++ b/limerudder/store/member.py
@@ -146,7 +146,7 @@
         self.submit_request(RequestKind.WRITE, encode_command(command), deadline_us, on_reply, now_us)
 
     def read_barrier(self, deadline_us: int, callback: ReadCallback, now_us: int) -> None:
-        """Calls back once the local state has all previously committed entries, for linearizable reads."""
+        """Calls back once all entries committed before this call are applied here, for linearizable reads."""
 
         def on_reply(outcome: bytes | CallFailure, now_us: int) -> None:
             if isinstance(outcome, CallFailure):
@@ -170,7 +170,7 @@
         self._scheduler.record_proofs(proofs)
 
     def capture_snapshot(self) -> SnapshotJob:
-        """Returns a copy of the current replicated state, to be encoded by the driver."""
+        """Returns a job with a copy of the current replicated state, which the caller encodes."""
         return self._scheduler.capture_snapshot()
 
     def receive(self, sender_id: int, message: StoreMessage, now_us: int) -> None:
--- a/limerudder/store/raft/election.py
+++ b/limerudder/store/raft/election.py
@@ -23,7 +23,7 @@
     def __init__(self, state: RaftState, random: Random, now_us: int) -> None:
         self._state = state
         self._random = random
-        self._votes: dict[int, bool] = {}  # voter id to whether the vote was granted
+        self._votes: dict[int, bool] = {}  # voter id -> whether the vote was granted
         # Older than the leader lease, so that a vote may be granted immediately.
         self.last_leader_contact_us = now_us - 2 * state.timing.election_timeout_us
         self.deadline_us = 0
--- a/limerudder/store/raft/log.py
+++ b/limerudder/store/raft/log.py
@@ -16,9 +16,8 @@
         self.last_index = base_index
         self.entries: list[Entry] = []
         self.size_bytes = 0
-        self._configs: list[tuple[int, ClusterConfig]] = [
-            (base_index, config)
-        ]  # (entry index, configuration)
+        # pairs of an entry's index and the configuration that is active from this entry on
+        self._configs: list[tuple[int, ClusterConfig]] = [(base_index, config)]
 
     @property
     def last_term(self) -> int:
--- a/limerudder/store/raft/persistence.py
+++ b/limerudder/store/raft/persistence.py
@@ -40,7 +40,7 @@
     truncate_from: int | None = None  # first index to delete before `entries` are added
     entries: tuple[Entry, ...] = ()
     snapshot_chunks: tuple[SnapshotChunk, ...] = ()
-    install_snapshot: SnapshotMeta | None = None  # a complete snapshot that replaces the old one
+    install_snapshot: SnapshotMeta | None = None  # snapshot with all chunks written; replaces the old one
     keep_log_suffix: bool = False  # entries after the installed snapshot are retained
 
 
--- a/limerudder/store/raft/progress.py
+++ b/limerudder/store/raft/progress.py
@@ -89,7 +89,7 @@
         self.is_paused = False
 
     def resume(self) -> None:
-        """Treat in-flight messages as lost, and allow them to be sent again."""
+        """Treat an unanswered probe, query or snapshot chunk as lost, and allow it to be sent again."""
         self.is_paused = False
         if self.mode == ProgressMode.SNAPSHOT:
             self.chunks_sent = self.chunks_received
--- a/limerudder/store/raft/state.py
+++ b/limerudder/store/raft/state.py
@@ -41,7 +41,7 @@
 class RaftTiming(NamedTuple):
     """Intervals in microseconds."""
 
-    election_timeout_us: int = 300_000  #: A member waits one to two timeouts for a leader
+    election_timeout_us: int = 300_000  #: Minimum wait for a leader; randomized up to twice this
     heartbeat_interval_us: int = 100_000
 
 
--- a/limerudder/store/wal_check.py
+++ b/limerudder/store/wal_check.py
@@ -19,7 +19,7 @@
 MIN_PAGE_BYTES = 512
 MAX_PAGE_BYTES = 65536
 CHECKSUMMED_HEADER_BYTES = 24  #: Checksummed part of the log's header
-CHECKSUMMED_FRAME_HEADER_BYTES = 8  #: Checksummed part of a frame's header; its page is included too
+CHECKSUMMED_FRAME_HEADER_BYTES = 8  #: Checksummed part of a frame's header; the checksum also covers the page
 MAX_TORN_TRANSACTIONS = 1  #: Maximum number of torn transactions after a crash
 WORD_MASK = 0xFFFFFFFF
 
@@ -71,7 +71,7 @@
     for start in range(WAL_HEADER.size, len(data) - frame_bytes + 1, frame_bytes):
         _, database_pages, salt_1, salt_2, sum_1, sum_2 = FRAME_HEADER.unpack_from(data, start)
         if (salt_1, salt_2) != header.salts:
-            break  # left over from before the last restart of the log
+            break  # frames from before the last restart of the log follow
         if damaged_frame is None:
             checksum = _add_frame_to_checksum(checksum, data[start : start + frame_bytes], header.byte_order)
             if checksum != (sum_1, sum_2):
