--- a/limerudder/store/raft/election.py
+++ b/limerudder/store/raft/election.py
@@ -95,14 +95,14 @@
         has_leader = state.is_leader or now_us < lease_end_us
         return has_leader and not message.is_leader_transfer and message.term > state.term
 
-    def answer_pre_vote(self, sender: int, message: RequestVote) -> None:
+    def reply_to_pre_vote(self, sender: int, message: RequestVote) -> None:
         """Reply whether this member would vote for the sender."""
         state = self._state
         granted = message.term > state.term and self._is_up_to_date(message)
         term = message.term if granted else state.term
         state.send_after_write(sender, RequestVoteReply(term, granted, is_pre_vote=True))
 
-    def answer_vote(self, sender: int, message: RequestVote, now_us: int) -> None:
+    def reply_to_vote_request(self, sender: int, message: RequestVote, now_us: int) -> None:
         """Grant or reject a vote. The caller has already adopted a newer term."""
         state = self._state
         can_vote = state.voted_for in (NO_LEADER, sender) and state.leader_id == NO_LEADER
--- a/limerudder/store/raft/membership.py
+++ b/limerudder/store/raft/membership.py
@@ -26,9 +26,9 @@
 def update_peers(state: RaftState, now_us: int) -> None:
     """Synchronize the tracked progress with the other members of the leader's configuration."""
     member_ids = {member.id for member in state.log.config.members}
-    heartbeat_is_due_us = now_us - state.timing.heartbeat_interval_us
+    one_interval_ago_us = now_us - state.timing.heartbeat_interval_us
     for member_id in member_ids - state.progress.keys() - {state.member_id}:
-        state.progress[member_id] = Progress(state.log.last_index + 1, heartbeat_is_due_us)
+        state.progress[member_id] = Progress(state.log.last_index + 1, one_interval_ago_us)
     for member_id in state.progress.keys() - member_ids:
         del state.progress[member_id]
 
--- a/limerudder/store/raft/raft.py
+++ b/limerudder/store/raft/raft.py
@@ -185,11 +185,11 @@
         if self._election.ignores_request(message, now_us):
             return
         if message.is_pre_vote:
-            self._election.answer_pre_vote(sender, message)
+            self._election.reply_to_pre_vote(sender, message)
             return
         if message.term > self._state.term:
             self._become_follower(message.term, NO_LEADER, now_us)
-        self._election.answer_vote(sender, message, now_us)
+        self._election.reply_to_vote_request(sender, message, now_us)
 
     def _on_timeout_now(self, now_us: int) -> None:
         state = self._state
--- a/limerudder/store/sqlite_reader.py
+++ b/limerudder/store/sqlite_reader.py
@@ -56,7 +56,7 @@
         """Return the durable state that a member starts with."""
         entries = self._log_entries()
         snapshot = self._snapshot()
-        self._check_log_meets_snapshot(entries, snapshot)
+        self._check_log_follows_snapshot(entries, snapshot)
         incoming_snapshot = self._incoming_snapshot()
         facts = self._drain_facts()
         known_values = self._known_values()
@@ -95,7 +95,7 @@
             )
         return Snapshot(meta, chunks)
 
-    def _check_log_meets_snapshot(self, entries: list[Entry], snapshot: Snapshot | None) -> None:
+    def _check_log_follows_snapshot(self, entries: list[Entry], snapshot: Snapshot | None) -> None:
         if not entries:
             return
         first_index = entries[0].index
