--- a/tests/test_store_messages.py
+++ b/tests/test_store_messages.py
@@ -23,18 +23,18 @@
 
 @given(st.lists(st.binary(max_size=300), max_size=6), st.lists(st.integers(1, 50), min_size=1, max_size=40))
 @settings(derandomize=True, deadline=None)
-def test_frames_are_reassembled_from_chunks_of_any_size(bodies: list[bytes], sizes: list[int]) -> None:
+def test_frames_are_reassembled_from_pieces_of_any_size(bodies: list[bytes], sizes: list[int]) -> None:
     data = b"".join(map(encode_frame, bodies))
     decoder = FrameDecoder()
-    decoded: list[bytes] = []
+    found: list[bytes] = []
     position = 0
-    chunk_count = 0
+    piece_count = 0
     while position < len(data):
-        size = sizes[chunk_count % len(sizes)]
-        decoded += decoder.feed(data[position : position + size])
+        size = sizes[piece_count % len(sizes)]
+        found += decoder.feed(data[position : position + size])
         position += size
-        chunk_count += 1
-    assert decoded == bodies
+        piece_count += 1
+    assert found == bodies
 
 
 @given(st.binary(max_size=400))
