--- a/limerudder/store/raft/leader.py
+++ b/limerudder/store/raft/leader.py
@@ -174,7 +174,7 @@
         if progress is None:
             return None
         progress.recently_active = True
-        progress.last_heard_us = now_us
+        progress.last_reply_us = now_us
         if read_round > progress.acked_read_round:
             progress.acked_read_round = read_round
             self._reads.confirm()
--- a/limerudder/store/raft/progress.py
+++ b/limerudder/store/raft/progress.py
@@ -30,7 +30,7 @@
         self.inflight: deque[int] = deque()  # last index of each unanswered append
         self.is_paused = False  # a probe or a query for the received chunks is unanswered
         self.last_sent_us = now_us
-        self.last_heard_us = now_us
+        self.last_reply_us = now_us
         self.recently_active = True  # the member has replied since the last quorum check
         self.acked_read_round = 0
         self.snapshot: Snapshot | None = None  # snapshot that is being sent
--- a/limerudder/store/status.py
+++ b/limerudder/store/status.py
@@ -115,4 +115,4 @@
     progress = member.raft.progress.get(peer_id)
     if progress is None:
         return None
-    return (now_us - progress.last_heard_us) // MICROSECONDS_PER_MILLISECOND
+    return (now_us - progress.last_reply_us) // MICROSECONDS_PER_MILLISECOND
