--- a/limerudder/loadtest/load_generator.py
+++ b/limerudder/loadtest/load_generator.py
@@ -26,7 +26,7 @@
 
 MAX_ARRIVALS_PER_STEP = 64  #: Limit of arrivals per loop iteration, so that a burst does not delay answers
 START_DELAY_US = 50_000  #: Delay between the call of `run` and the start of the run
-BUSY_WAIT_US = 2000  #: Longest wait for which timers are too coarse
+BUSY_WAIT_US = 2000  #: Waits up to this length are busy waits, because timers are too coarse
 TIMER_LATENESS_US = 1500  #: Maximum expected lateness of a timer
 DRAIN_POLL_SECONDS = 0.01
 REPORT_INTERVAL_SECONDS = 1.0
--- a/limerudder/loadtest/rule_checker.py
+++ b/limerudder/loadtest/rule_checker.py
@@ -24,9 +24,9 @@
     ONE_ANSWER = "one answer"
     IN_TIME = "in time"
     ONE_ATTEMPT = "one attempt"
-    LISTED_SERVERS = "listed hosts"
+    LISTED_SERVERS = "listed servers"
     DRAINS = "drains"
-    COLD_SERVERS = "cold hosts"
+    COLD_SERVERS = "cold servers"
     LOST_CONNECTIONS = "lost connections"
     LINE_DELIVERY = "line delivery"
 
@@ -34,7 +34,7 @@
 class Direction(Enum):
     """The direction of a line through the node."""
 
-    TO_SERVER = "to the host"
+    TO_SERVER = "to the server"
     TO_CLIENT = "to the client"
 
 
@@ -42,7 +42,7 @@
     """Limits of the rules; times are in microseconds."""
 
     answer_grace_us: int = 20_000  #: Time allowed after a client's deadline
-    drain_grace_us: int = 500_000  #: Time from the notice that a server drains to its last new attempt
+    drain_grace_us: int = 500_000  #: Time allowed for new attempts after the notice that a server drains
     warm_up_us: int = 24 * MICROSECONDS_PER_SECOND
     initial_capacity: float = 0.13  #: Share of the capacity after a start; grows linearly to 1
     overload_factor: float = 3.0  #: Allowed multiple of the current capacity within any window
@@ -98,7 +98,7 @@
 
     capacity_per_second: float  #: New connections per second after warm-up
     started_us: int
-    unavailable_since_us: int | None = None  #: Time of the first notification that it drains or is gone
+    unavailable_since_us: int | None = None  #: Time of the first notification that it drains or was removed
     recent_attempts_us: deque[int] = field(default_factory=deque)  #: Attempts in the overload window
 
 
--- a/limerudder/loadtest/simulated_client.py
+++ b/limerudder/loadtest/simulated_client.py
@@ -9,7 +9,8 @@
 
 from limerudder.loadtest.arrivals import MICROSECONDS_PER_SECOND, Arrival
 
-ANSWER_TIMEOUT_US = 10 * MICROSECONDS_PER_SECOND  #: Time-out after which the answer is `none`
+#: Time-out for an answer, from the start of connecting; the answer is then `none`.
+ANSWER_TIMEOUT_US = 10 * MICROSECONDS_PER_SECOND
 MAX_LINE_BYTES = 4096
 RECEIVE_BYTES = 65536
 
--- a/tests/test_rule_checker.py
+++ b/tests/test_rule_checker.py
@@ -11,21 +11,21 @@
 SECOND = 1_000_000
 
 
-def checker_of_two_hosts() -> RuleChecker:
+def checker_of_two_servers() -> RuleChecker:
     checker = RuleChecker(RuleLimits())
     checker.server_listed(0, "h1", True, 50.0, -60 * SECOND)
     checker.server_listed(0, "h2", True, 50.0, -60 * SECOND)
     return checker
 
 
-def serve_request(checker: RuleChecker, request: str = "r", at: int = SECOND, host: str = "h1") -> None:
+def serve_request(checker: RuleChecker, request: str = "r", at: int = SECOND, server: str = "h1") -> None:
     checker.request_sent(at, request, 2 * SECOND)
-    checker.attempt_received(at + 1000, request, host)
+    checker.attempt_received(at + 1000, request, server)
     checker.line_answered(at + 3000, request, "UP 77")
 
 
 def test_exchanges_of_all_kinds_that_follow_the_rules_pass() -> None:
-    checker = checker_of_two_hosts()
+    checker = checker_of_two_servers()
     serve_request(checker)
     checker.line_received(SECOND + 5000, "r", Direction.TO_SERVER, "M 1")
     checker.line_delivered(SECOND + 5400, "r", Direction.TO_SERVER, "M 1")
@@ -34,7 +34,7 @@
     checker.line_answered(SECOND + 7000, "r", "MOVE")
     checker.client_closed_by_node(SECOND + 8000, "r")
     checker.attempt_ended(SECOND + 8001, "r", "h1", by_server=False)
-    checker.request_sent(2 * SECOND, "again", 2 * SECOND)  # rejected by one host, accepted by the next
+    checker.request_sent(2 * SECOND, "again", 2 * SECOND)  # rejected by one server, accepted by the next
     checker.attempt_received(2 * SECOND + 10, "again", "h1")
     checker.attempt_ended(2 * SECOND + 20, "again", "h1", by_server=True)
     checker.attempt_received(2 * SECOND + 30, "again", "h2")
@@ -93,16 +93,16 @@
     checker.attempt_received(SECOND + 4, "r", "h1")
 
 
-def request_to_a_drained_host(checker: RuleChecker) -> None:
+def request_to_a_drained_server(checker: RuleChecker) -> None:
     checker.server_listed(SECOND, "h1", False, 50.0, -60 * SECOND)
     serve_request(checker, at=SECOND + 500_000)
 
 
-def request_to_an_unlisted_host(checker: RuleChecker) -> None:
-    serve_request(checker, host="h9")
+def request_to_an_unlisted_server(checker: RuleChecker) -> None:
+    serve_request(checker, server="h9")
 
 
-def too_many_requests_to_a_cold_host(checker: RuleChecker) -> None:
+def too_many_requests_to_a_cold_server(checker: RuleChecker) -> None:
     checker.server_listed(SECOND, "h3", True, 10.0, SECOND)
     for n in range(20):
         serve_request(checker, f"r{n}", SECOND + 500_000 + n * 5000, "h3")
@@ -142,9 +142,9 @@
         (moved_before_accepted, "one answer"),
         (two_attempts_at_once, "one attempt"),
         (attempt_after_the_answer, "one attempt"),
-        (request_to_a_drained_host, "drains"),
-        (request_to_an_unlisted_host, "listed hosts"),
-        (too_many_requests_to_a_cold_host, "cold hosts"),
+        (request_to_a_drained_server, "drains"),
+        (request_to_an_unlisted_server, "listed servers"),
+        (too_many_requests_to_a_cold_server, "cold servers"),
         (connection_closed_while_established, "lost connections"),
         (line_delivered_too_late, "line delivery"),
         (line_never_delivered, "line delivery"),
@@ -155,7 +155,7 @@
 def test_each_violated_rule_is_found_with_its_exchange(
     break_rule: Callable[[RuleChecker], None], rule: str
 ) -> None:
-    checker = checker_of_two_hosts()
+    checker = checker_of_two_servers()
     break_rule(checker)
     found = checker.finish(10 * SECOND)
     assert {violation.rule for violation in found} == {rule}, [str(violation) for violation in found]
