--- a/bench/slow_start_candidates.py
+++ b/bench/slow_start_candidates.py
@@ -3,8 +3,8 @@
     python -m bench.slow_start_candidates [--seeds N]
 
 Each line simulates a fault with one factor removed, or with its true value instead of the nodes' estimate. It
-shows how many seeds and windows exceed the operators' limit, and the worst ratio. The simulation has the true
-rate of each server.
+shows how many seeds and windows exceed the operators' limit, and the worst ratio. The true rate of each
+server is available in the simulation.
 """
 
 from __future__ import annotations
@@ -40,8 +40,8 @@
     Case("B", "clocks one hour ahead", LARGE, faults.clocks_ahead),
     Case("B", "the same restarts, correct clocks", LARGE, faults.correct_clocks),
     Case("B", "clocks one hour behind", LARGE, faults.clocks_behind),
-    Case("C", "nodes restart repeatedly", LARGE, faults.nodes_restart_over_and_over),
-    Case("D", "low load, then three times the rate", LARGE, faults.crowd_after_quiet),
+    Case("C", "nodes restart repeatedly", LARGE, faults.nodes_restart_repeatedly),
+    Case("D", "low load, then three times the rate", LARGE, faults.load_spike_after_low_traffic),
     Case("H", "twice the processes in the settings, rolling restart", MORE_PROCESSES, faults.rolling_restart),
 ]
 
--- a/harness/slow_start_faults.py
+++ b/harness/slow_start_faults.py
@@ -72,7 +72,7 @@
     fleet.run(SETTLING_SECONDS)
 
 
-def crowd_after_quiet(fleet: SlowStartFleet) -> None:
+def load_spike_after_low_traffic(fleet: SlowStartFleet) -> None:
     """A third of the servers restart during very low traffic; a spike at triple the usual rate follows."""
     usual = fleet.rate_factor
     fleet.rate_factor = LOW_RATE_FACTOR
@@ -82,7 +82,7 @@
     fleet.run(SETTLING_SECONDS)
 
 
-def most_nodes_die(fleet: SlowStartFleet) -> None:
+def most_nodes_restart(fleet: SlowStartFleet) -> None:
     """Seven in ten nodes and a third of the servers restart at once."""
     nodes = list(range(len(fleet.nodes)))
     fleet.restart_nodes([node for node in nodes if node % 10 < 7])
@@ -90,8 +90,8 @@
     fleet.run(SETTLING_SECONDS)
 
 
-def nodes_restart_over_and_over(fleet: SlowStartFleet) -> None:
-    """A third of the servers restart; meanwhile all nodes restart in batches every two seconds."""
+def nodes_restart_repeatedly(fleet: SlowStartFleet) -> None:
+    """A third of the servers restart; meanwhile each node restarts every two seconds, an eighth at a time."""
     fleet.restart_servers(list(fleet.ready_since)[::3])
     node_count = len(fleet.nodes)
     for _ in range(6):
@@ -106,7 +106,7 @@
     clocks_ahead,
     clocks_behind,
     clocks_apart_by_seconds,
-    crowd_after_quiet,
-    most_nodes_die,
-    nodes_restart_over_and_over,
+    load_spike_after_low_traffic,
+    most_nodes_restart,
+    nodes_restart_repeatedly,
 ]
