--- a/harness/overload_fleet.py
+++ b/harness/overload_fleet.py
@@ -1,7 +1,7 @@
-"""Simulates several policies on one clock with overloaded hosts that send no load reports.
+"""Simulates several policies on one clock with overloaded servers that send no load reports.
 
-Work that exceeds a host's capacity accumulates in a backlog, which delays messages; some hosts reset their
-newest connections while the backlog is long. Clients reconnect after a migration or a reset.
+Work that exceeds a server's capacity accumulates in a backlog, which delays messages; some servers reset
+their newest connections while the backlog is long. Clients reconnect after a migration or a reset.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 
 SECOND = 1_000_000
 STEP = SECOND // 10  #: Interval of the backlog updates, in microseconds
-GROUP_LOAD_US_PER_SECOND = 30_000.0  #: Work for each group at each of its hosts, shared by its clients there
+GROUP_LOAD_US_PER_SECOND = 30_000.0  #: Work for each group at each of its servers, shared by its clients
 CONNECT_SECONDS = 0.02
-RESET_BACKLOG_SECONDS = 2.0  #: Backlog above which hosts reset their newest connections
+RESET_BACKLOG_SECONDS = 2.0  #: Backlog above which servers reset their newest connections
 RESET_FRACTION = 10  #: One in this number of connections is reset
 REPORTED_BACKLOG_SECONDS = 0.02  #: Shorter backlogs cause no latency samples
 RECONNECT_SECONDS = (0.1, 2.0)  #: Range of the delay after a restart of a node
@@ -53,8 +53,8 @@
 
 
 @dataclass
-class SimulatedHost:
-    """One host; capacity and loads are in microseconds of work per second."""
+class SimulatedServer:
+    """One server; capacity and loads are in microseconds of work per second."""
 
     id: int
     capacity: float
@@ -70,7 +70,7 @@
 
 @dataclass(eq=False)
 class SimulatedClient:
-    """One client, its connection, and the host it is connected to."""
+    """One client, its connection, and the server it is connected to."""
 
     key: int
     traffic_class: int
@@ -79,12 +79,12 @@
     is_reconnect: bool = False
     node: int = -1
     request: int = 0
-    host: SimulatedHost | None = None
+    server: SimulatedServer | None = None
     rejections: int = 0  # rejections since the last attempt
 
 
 class OverloadFleet:
-    """Nodes, hosts and clients; `served` is the served share of the priority weights in each step."""
+    """Nodes, servers and clients; `served` is the served share of the priority weights in each step."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         self.rng = Random(seed)
         self.now = 10 * SECOND
         self.resets_connections = resets_connections
-        self.hosts = {n + 1: SimulatedHost(n + 1, capacity) for n, capacity in enumerate(capacities)}
+        self.servers = {n + 1: SimulatedServer(n + 1, capacity) for n, capacity in enumerate(capacities)}
         self.clients = clients
         self.requests: dict[tuple[int, int], SimulatedClient] = {}  # clients by node and request id
         self.served: list[float] = []
@@ -152,14 +152,14 @@
     def _start_node(self, node: int) -> Balancer:
         """Start a process whose only state is the endpoint list."""
         balancer = Balancer(self.settings, Random(self.rng.random()))
-        entries = [ServerEntry(host, 0, 0, 0, ServerState.READY, 1.0, 0) for host in self.hosts]
+        entries = [ServerEntry(server, 0, 0, 0, ServerState.READY, 1.0, 0) for server in self.servers]
         self._deliver_to(node, balancer, EndpointUpdate(UpdateKind.CACHED, 1, entries))
         return balancer
 
     def _disconnect(self, client: SimulatedClient) -> None:
-        if client.host:
-            client.host.clients.remove(client)
-        client.host = None
+        if client.server:
+            client.server.clients.remove(client)
+        client.server = None
         client.is_reconnect = True
         self.requests.pop((client.node, client.request), None)
 
@@ -179,8 +179,8 @@
         if client is None:
             return
         if isinstance(action, StartAttempt):
-            self._start_attempt(client, self.hosts[action.server_id])
-        elif isinstance(action, MigrateClient) and client.host:
+            self._start_attempt(client, self.servers[action.server_id])
+        elif isinstance(action, MigrateClient) and client.server:
             self._end_connection(client, AttemptOutcome.CANCELLED, MIGRATION_SECONDS)
         elif isinstance(action, RejectRequest | FailRequest):
             client.rejections += 1
@@ -188,10 +188,10 @@
             backoff_seconds = min(0.3 * 2**client.rejections, MAX_REJECTION_BACKOFF_SECONDS)
             self.schedule(backoff_seconds, partial(self.connect, client))
 
-    def _start_attempt(self, client: SimulatedClient, host: SimulatedHost) -> None:
+    def _start_attempt(self, client: SimulatedClient, server: SimulatedServer) -> None:
         self.attempts += 1
-        client.host = host
-        host.clients.append(client)
+        client.server = server
+        server.clients.append(client)
         client.rejections = 0
         self.schedule(CONNECT_SECONDS, partial(self._establish, client.node, client, client.request))
 
@@ -202,20 +202,20 @@
 
     def _establish(self, node: int, client: SimulatedClient, request: int) -> None:
         """Establish a connection and deliver a sample of its load."""
-        if client.request != request or not client.host:
+        if client.request != request or not client.server:
             return
         connect_us = int(CONNECT_SECONDS * SECOND)
-        self._deliver(node, ConnectionEstablished(request, client.host.id, 0, connect_us))
-        if client.request == request and client.host:
-            self._deliver(node, LoadSample(request, client.host.id, client.load, 0))
+        self._deliver(node, ConnectionEstablished(request, client.server.id, 0, connect_us))
+        if client.request == request and client.server:
+            self._deliver(node, LoadSample(request, client.server.id, client.load, 0))
 
     def _end_connection(
         self, client: SimulatedClient, outcome: AttemptOutcome, reconnect_seconds: float
     ) -> None:
         """End an established connection; its client reconnects after about `reconnect_seconds`."""
-        host = client.host
-        assert host is not None
-        ended = AttemptEnded(client.request, 0, host.id, int(outcome), 0, 1, ())
+        server = client.server
+        assert server is not None
+        ended = AttemptEnded(client.request, 0, server.id, int(outcome), 0, 1, ())
         node = client.node
         self._disconnect(client)
         self.schedule(reconnect_seconds * self.rng.uniform(0.5, 2), partial(self.connect, client))
@@ -225,29 +225,29 @@
         """Update the backlogs; clients are served while the backlog is below their message objective."""
         classes = self.settings.classes
         served_weight = 0.0
-        for host in self.hosts.values():
-            growth_seconds = (host.relative_load() - 1) * STEP / SECOND
-            host.backlog_seconds = max(host.backlog_seconds + growth_seconds, 0.0)
-            for client in host.clients:
+        for server in self.servers.values():
+            growth_seconds = (server.relative_load() - 1) * STEP / SECOND
+            server.backlog_seconds = max(server.backlog_seconds + growth_seconds, 0.0)
+            for client in server.clients:
                 traffic_class = classes[client.traffic_class]
-                is_served = host.backlog_seconds * SECOND < traffic_class.message_objective_us
+                is_served = server.backlog_seconds * SECOND < traffic_class.message_objective_us
                 served_weight += traffic_class.priority_weight * is_served
-            if self.resets_connections and host.backlog_seconds > RESET_BACKLOG_SECONDS:
-                self._reset_newest(host)
+            if self.resets_connections and server.backlog_seconds > RESET_BACKLOG_SECONDS:
+                self._reset_newest(server)
         total_weight = sum(classes[client.traffic_class].priority_weight for client in self.clients)
         self.served.append(served_weight / total_weight)
 
-    def _reset_newest(self, host: SimulatedHost) -> None:
-        reset_count = max(len(host.clients) // RESET_FRACTION, 1)
-        for client in host.clients[-reset_count:]:
+    def _reset_newest(self, server: SimulatedServer) -> None:
+        reset_count = max(len(server.clients) // RESET_FRACTION, 1)
+        for client in server.clients[-reset_count:]:
             self.resets += 1
             self._end_connection(client, AttemptOutcome.RESET, RESET_SECONDS)
 
     def _sample_latencies(self) -> None:
-        """Deliver a latency sample of each slow host to each node, from one of its connections there."""
-        for host in self.hosts.values():
+        """Deliver a latency sample of each slow server to each node, from one of its connections there."""
+        for server in self.servers.values():
             for node in range(len(self.nodes)):
-                clients = [client for client in host.clients if client.node == node]
-                if clients and host.backlog_seconds > REPORTED_BACKLOG_SECONDS:
-                    latency_ms = host.backlog_seconds * 1000
-                    self._deliver(node, LatencySample(clients[0].request, host.id, latency_ms, 0))
+                clients = [client for client in server.clients if client.node == node]
+                if clients and server.backlog_seconds > REPORTED_BACKLOG_SECONDS:
+                    latency_ms = server.backlog_seconds * 1000
+                    self._deliver(node, LatencySample(clients[0].request, server.id, latency_ms, 0))
