--- a/bench/compare_decisions.py
+++ b/bench/compare_decisions.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-#: Figures that depend on the machine rather than on the decisions
+#: Figures that depend on the machine rather than on the decisions.
 MEASURED_FIGURES = frozenset({"cpu_us_event", "cpu_late"})
 
 
@@ -28,7 +28,7 @@
         journal = json.loads(path.read_text())
         days = {day["name"]: day for day in journal["days"]}
     except (OSError, ValueError, KeyError, TypeError) as exc:
-        raise JournalError(f"{path} is no journal with days: {exc}") from exc
+        raise JournalError(f"{path} is not a journal with days: {exc}") from exc
     if journal.get("cmd") != "score":
         raise JournalError(f"{path} was not written by the simulator's score")
     if not days:
--- a/bench/hot_restart_compatibility.py
+++ b/bench/hot_restart_compatibility.py
@@ -3,8 +3,8 @@
 Run `python -m bench.hot_restart_compatibility --old DIR`.
 
 A process of the release in DIR, a checkout with its own `.venv`, serves clients over loopback. A process of
-this checkout succeeds it, and the old one receives SIGTERM; then the roles are reversed. The exit code is 1
-if a connection was refused at the listener, lost or cut off, or if a process exited with an error.
+this checkout starts as its successor, and the old one receives SIGTERM; then the roles are reversed. The exit
+code is 1 if a connection was refused at the listener, lost or cut off, or if a process exited with an error.
 """
 
 from __future__ import annotations
@@ -36,7 +36,8 @@
 MESSAGE_INTERVAL_SECONDS = 0.25
 SHORT_LIFETIMES_SECONDS = (0.2, 1.0)
 PAUSE_AFTER_REFUSAL_SECONDS = 0.05
-#: The node sheds load while many clients arrive at once and the capacity of the upstreams is not yet learned
+#: Time before the first restart: the node sheds load while many clients arrive at once and it has no
+#: estimate of the upstreams' capacity yet.
 WARM_UP_SECONDS = 4.0
 PAUSE_AFTER_REJECTION_SECONDS = 0.25
 CLIENT_LINE = "OPEN {request_id:016x} {key:016x} c=chat,t=acme,d=2000\r\n"
--- a/bench/lab_load.py
+++ b/bench/lab_load.py
@@ -135,7 +135,8 @@
     """Measure and print the generator's lateness at an arrival rate."""
     summary = measure(rate, seconds, 0).histogram.summary()
     print(
-        f"{rate}/s: {summary['came']} came, {summary['answers']}, latency {summary['latency_us']}", flush=True
+        f"{rate}/s: {summary['came']} arrivals, {summary['answers']}, latency {summary['latency_us']}",
+        flush=True,
     )
     print(f"    generator: {summary['generator']}", flush=True)
 
--- a/bench/rolling_upgrade.py
+++ b/bench/rolling_upgrade.py
@@ -34,7 +34,7 @@
 CALL_WAIT_SECONDS = 1.0
 RETRY_SECONDS = 0.02
 WRITE_INTERVAL_SECONDS = 0.002
-MAX_WRITES = 9_000  #: Fewer than the maximum number of items in one answer
+MAX_WRITES = 9_000  #: Limit of writes; below the maximum number of items in one answer
 WRITES_BETWEEN_UPGRADES = 100
 KEY_PREFIX = "kv/"
 OLD_MODULE = "rigs.lone"  #: Module of the old checkout that runs one member
@@ -49,9 +49,9 @@
 class WriteLog:
     """The writes of the client and their outcomes."""
 
-    acknowledged: dict[str, int] = field(default_factory=dict)  # revisions, keyed by key
-    unanswered: set[str] = field(default_factory=set)  # keys of writes without an answer; they may be applied
-    retries: Counter[str] = field(default_factory=Counter)  # keyed by reason
+    acknowledged: dict[str, int] = field(default_factory=dict)  # revision of each key
+    unanswered: set[str] = field(default_factory=set)  # keys of writes without an answer, perhaps applied
+    retries: Counter[str] = field(default_factory=Counter)  # number of retries by reason
 
 
 class SessionClient(threading.Thread):
--- a/bench/store_cost.py
+++ b/bench/store_cost.py
@@ -1,6 +1,7 @@
 """Measures the store's overhead on request processing: `python -m bench.store_cost`.
 
-Compares the CPU time of node processes under the same load, alternately with the store enabled and disabled.
+Compares the CPU time of node processes under the same load, alternately with the store enabled and disabled,
+and prints the ratio of each pair.
 """
 
 from __future__ import annotations
--- a/bench/store_kills.py
+++ b/bench/store_kills.py
@@ -43,7 +43,7 @@
         self._tier = tier
         self._rounds = rounds
         self._with_churn = with_churn
-        self._acknowledged: dict[str, int] = {}  # revisions, keyed by key
+        self._acknowledged: dict[str, int] = {}  # revision of each key
         self._membership_answers: Counter[str] = Counter()
         self._stopping = asyncio.Event()
         self._excluded_since = 0.0  # monotonic time since which drained and held hosts get no requests
--- a/harness/cluster_checks.py
+++ b/harness/cluster_checks.py
@@ -44,7 +44,7 @@
         self.committed: dict[int, CommittedEntry] = {}  # keyed by index
         self.committed_index = 0
         self.commands: dict[int, bytes] = {}  # committed commands, keyed by index
-        self.durable_drains: dict[tuple[int, str], int] = {}  # start times, keyed by member and host
+        self.durable_drains: dict[tuple[int, str], int] = {}  # hosts' start times, keyed by member and host
         self._state_digests: dict[int, int] = {}  # keyed by applied index
         self._checked_index: dict[int, int] = {}  # keyed by member
         self._checked_leader_term: dict[int, int] = {}  # keyed by member
@@ -160,7 +160,7 @@
             if member_id == member.member_id and not drain_log.effective_record(host).excludes(started_ms):
                 raise InvariantError(
                     f"{self._environment.describe_time()}, {member.name}:"
-                    f" lost the durable drain of {host} (started at {started_ms} ms)"
+                    f" lost the durable drain of {host} (host started at {started_ms} ms)"
                 )
 
     def check_drains_agreed(self, members: Iterable[SimulatedMember], config_ids: set[int]) -> None:
@@ -171,7 +171,7 @@
                 if member_id in config_ids and not drain_log.effective_record(host).excludes(started_ms):
                     raise InvariantError(
                         f"seed {self._environment.seed}, end: {member.name} lacks the"
-                        f" drain of {host} (started at {started_ms} ms)"
+                        f" drain of {host} (host started at {started_ms} ms)"
                     )
 
 
--- a/harness/linearizability.py
+++ b/harness/linearizability.py
@@ -43,7 +43,7 @@
 
 
 def _check_real_time_order(history: Sequence[ClientCall], finished: Sequence[ClientCall]) -> None:
-    """Check that a call returns at least the revisions of calls finished before it; a write, a later one."""
+    """Check that a call returns at least the revision of each call that ended before it; a write, more."""
     seen_revision = 0
     position = 0
     for call in sorted(history, key=lambda call: call.started_us):
--- a/harness/multi_process.py
+++ b/harness/multi_process.py
@@ -16,7 +16,7 @@
 from limerudder.store.data_directory import init_cluster
 
 POLL_SECONDS = 0.02  #: Interval of polling the nodes' state
-PORTS_PER_NODE = 3  #: For clients, the console and the store
+PORTS_PER_NODE = 3  #: Ports for clients, for the console and for the store
 
 
 class MultiProcessTier:
--- a/harness/slow_start_fleet.py
+++ b/harness/slow_start_fleet.py
@@ -45,8 +45,8 @@
 START_US = 100_000 * SECOND  #: Large enough for clocks that are hours behind
 CONNECT_US = 20_000
 RECONNECT_SECONDS = (0.1, 1.0)
-CHANCE_DEVIATIONS = 2.0  #: Standard deviations by which attempts may exceed a budget
-SMALL_BUDGET = 30  #: Calls per window; the operators allow a larger random excess for smaller budgets
+CHANCE_DEVIATIONS = 2.0  #: Standard deviations by which attempts may exceed a budget by chance
+SMALL_BUDGET = 30  #: Calls per window; the operators allow a larger excess by chance for smaller budgets
 
 
 def allowed_calls(budget: float) -> float:
@@ -57,7 +57,7 @@
 
 
 class Excess(NamedTuple):
-    """By how much calls to servers in slow start exceed the limit."""
+    """Calls to servers in slow start compared with the limit."""
 
     worst: float  #: Maximum ratio of calls to the limit in a window
     windows: int  #: Number of windows with more calls than allowed
@@ -83,7 +83,7 @@
         self.rates = rates
         self.lifetime = lifetime
         self.rng = Random(seed)
-        self.clock_steps_us = [0] * len(rates)  #: By how much each node's clock is ahead
+        self.clock_steps_us = [0] * len(rates)  #: Offset of each node's clock from the true time
         self.now = START_US
         self.rate_factor = 1.0  #: Multiplier of the nodes' rates
         #: New connections per second that fully load a warm server.
@@ -192,8 +192,10 @@
         start_times = self._start_times[node]
         start_times.observe(starts, self.now + self.clock_steps_us[node])
         return [
-            ServerEntry(int(host), 0, 0, 0, ServerState.READY, 1.0, start_times.local_us(host, started_ms))
-            for host, started_ms in starts
+            ServerEntry(
+                int(server), 0, 0, 0, ServerState.READY, 1.0, start_times.local_us(server, started_ms)
+            )
+            for server, started_ms in starts
         ]
 
     def _schedule(self, seconds: float, task: Callable[[], None]) -> None:
--- a/harness/slow_start_processes.py
+++ b/harness/slow_start_processes.py
@@ -15,16 +15,17 @@
 WARM_UP_SECONDS = INVARIANTS["warmUpUs"] / SECOND
 
 
-def fullest_window_share(arrivals: Sequence[float], started: float, usual_rate: float) -> float:
+def fullest_window_share(arrivals: Sequence[float], started: float, baseline_rate: float) -> float:
     """Return the maximum ratio of requests to the limit in a window.
 
-    `arrivals` and `started` are seconds of one clock; `usual_rate` is the requests per second at a warm host.
+    `arrivals` and `started` are seconds of one clock; `baseline_rate` is the rate of requests at a warm host,
+    per second.
     """
     start_share = INVARIANTS["startCapacity"]
     worst = 0.0
     for position, first in enumerate(arrivals):
         age = (first - started) / WARM_UP_SECONDS
-        capacity = usual_rate * (start_share + (1 - start_share) * age)
+        capacity = baseline_rate * (start_share + (1 - start_share) * age)
         budget = INVARIANTS["overloadFactor"] * capacity * WINDOW_SECONDS
         calls = sum(first <= arrival < first + WINDOW_SECONDS for arrival in arrivals[position:])
         worst = max(worst, calls / allowed_calls(budget))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -47,4 +47,4 @@
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
     for failure in _known_failures():
-        terminalreporter.write_line("known failure, passed over: " + SEPARATOR.join(failure))
+        terminalreporter.write_line("known failure, ignored: " + SEPARATOR.join(failure))
--- a/tests/test_compare_decisions.py
+++ b/tests/test_compare_decisions.py
@@ -46,7 +46,7 @@
     (tmp_path / "real.json").write_text(json.dumps({"cmd": "real-score", "days": [{"name": "quiet-1"}]}))
     with pytest.raises(JournalError, match="not written by the simulator"):
         compare(old, tmp_path / "real.json")
-    with pytest.raises(JournalError, match="no journal"):
+    with pytest.raises(JournalError, match="not a journal with days"):
         compare(old, tmp_path / "none.json")
 
 
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -29,7 +29,7 @@
     pytester.path.joinpath("KNOWN-RED.txt").write_text(ENTRY.replace("it failed", reason))
     result = pytester.runpytest("-p", "no:cacheprovider")
     assert (result.ret == pytest.ExitCode.OK) == passes
-    result.stdout.fnmatch_lines(["known failure, passed over: test_red.py::test_red | *"])
+    result.stdout.fnmatch_lines(["known failure, ignored: test_red.py::test_red | *"])
 
 
 def test_a_failure_of_an_unlisted_test_is_not_ignored(pytester: pytest.Pytester) -> None:
