--- a/bench/store_speed.py
+++ b/bench/store_speed.py
@@ -122,7 +122,7 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     end: float
-    sent: dict[int, float] = field(default_factory=dict)  # send times, keyed by write number
+    sent: dict[int, float] = field(default_factory=dict)  # send times by write number
     latencies: list[float] = field(default_factory=list)
     last_number: int = 0
 
--- a/harness/cluster_checks.py
+++ b/harness/cluster_checks.py
@@ -41,13 +41,13 @@
         self._environment = environment
         self._members = members
         self.leaders_by_term: dict[int, int] = {}
-        self.committed: dict[int, CommittedEntry] = {}  # keyed by index
+        self.committed: dict[int, CommittedEntry] = {}  # committed entries by index
         self.committed_index = 0
-        self.commands: dict[int, bytes] = {}  # committed commands, keyed by index
-        self.durable_drains: dict[tuple[int, str], int] = {}  # hosts' start times, keyed by member and host
-        self._state_digests: dict[int, int] = {}  # keyed by applied index
-        self._checked_index: dict[int, int] = {}  # keyed by member
-        self._checked_leader_term: dict[int, int] = {}  # keyed by member
+        self.commands: dict[int, bytes] = {}  # committed commands by index
+        self.durable_drains: dict[tuple[int, str], int] = {}  # hosts' start times by member and host
+        self._state_digests: dict[int, int] = {}  # digests by applied index
+        self._checked_index: dict[int, int] = {}  # last checked index by member
+        self._checked_leader_term: dict[int, int] = {}  # last checked term as leader, by member
 
     def running_members(self) -> list[SimulatedMember]:
         """Return the members whose process is running."""
--- a/harness/many_hosts_soak.py
+++ b/harness/many_hosts_soak.py
@@ -31,7 +31,7 @@
     "bind=EADDRINUSE+ENOMEM,listen=EADDRINUSE",
     "connect=EADDRNOTAVAIL+ENOBUFS,sendto=ENOBUFS+EPERM,accept=EMFILE",
 )
-NodeFault = Callable[[NodeProcess, Path], Awaitable[None]]  #: Called with the node and the preloaded library
+NodeFault = Callable[[NodeProcess, Path], Awaitable[None]]  #: Fault of a node; given the preloaded library
 HOST_SHARES = (0.001, 0.05, 0.5)  #: Shares of the hosts that one fault changes
 
 
--- a/harness/member_cluster.py
+++ b/harness/member_cluster.py
@@ -51,9 +51,9 @@
     """Members with their addresses and data directories, each in a process."""
 
     def __init__(self, addresses: Mapping[str, str], directories: Mapping[str, str]) -> None:
-        self.addresses = addresses  # keyed by member name
-        self.directories = directories  # keyed by member name
-        self._processes: dict[str, subprocess.Popen[bytes]] = {}  # keyed by member name
+        self.addresses = addresses  # addresses by member name
+        self.directories = directories  # data directories by member name
+        self._processes: dict[str, subprocess.Popen[bytes]] = {}  # running processes by member name
 
     @classmethod
     def create(cls, folder: Path, member_count: int = 4) -> MemberCluster:
--- a/harness/memory_disk.py
+++ b/harness/memory_disk.py
@@ -24,13 +24,13 @@
 
     config: ClusterConfig
     hard_state: HardState = field(default_factory=lambda: HardState(0, 0))
-    log: dict[int, Entry] = field(default_factory=dict)  # keyed by index
+    log: dict[int, Entry] = field(default_factory=dict)  # entries by index
     snapshot: Snapshot | None = None
     incoming_snapshot: IncomingSnapshot | None = None
-    facts: dict[int, bytes] = field(default_factory=dict)  # encoded drain log facts, keyed by number
-    known: dict[str, KnownValue] = field(default_factory=dict)  # keyed by store key
+    facts: dict[int, bytes] = field(default_factory=dict)  # encoded facts of the drain log by number
+    known: dict[str, KnownValue] = field(default_factory=dict)  # known values by store key
     incarnation: Incarnation = field(default_factory=lambda: Incarnation(0, 0))
-    proofs: dict[int, DurabilityProof] = field(default_factory=dict)  # keyed by member
+    proofs: dict[int, DurabilityProof] = field(default_factory=dict)  # proofs by member
 
     def copy(self) -> MemoryDisk:
         """Return a copy that later jobs do not change."""
--- a/harness/process_soak.py
+++ b/harness/process_soak.py
@@ -42,7 +42,7 @@
 )
 
 
-Fault = Callable[[Path], Awaitable[None]]  #: Called with the preloaded library
+Fault = Callable[[Path], Awaitable[None]]  #: Fault; given the preloaded library
 
 
 @dataclass
@@ -65,7 +65,7 @@
         self._tier = self._create_tier(nodes, hosts)
         self._client_count = clients
         self._busy_nodes: set[NodeProcess] = set()
-        self._host_starts: dict[str, tuple[float, float]] = {}  # time of start, time when nodes are notified
+        self._host_starts: dict[str, tuple[float, float]] = {}  # times of start and of notification, by host
         self._tasks: set[asyncio.Task[None]] = set()
         self._baseline_rate = 0.0
         self.report = SoakReport()
--- a/harness/simulated_member.py
+++ b/harness/simulated_member.py
@@ -71,7 +71,7 @@
         self.process: Member | None = None
         self.generation = 0
         self._authenticator: PeerAuthenticator | None = None
-        self._connections: dict[int, tuple[int, int]] = {}  # (peer, own) generations, keyed by peer
+        self._connections: dict[int, tuple[int, int]] = {}  # (peer, own) generations by peer
         self._write_queue: deque[QueuedWrite] = deque()
         self._is_writing = False
         self.clock_rate = 1.0
--- a/harness/slow_start_plays.py
+++ b/harness/slow_start_plays.py
@@ -20,7 +20,7 @@
 
 
 class Outcome(NamedTuple):
-    """Results from the beginning of the fault on."""
+    """Results of a run since the start of the fault."""
 
     excess: Excess
     requests: int
