--- a/harness/cluster_checks.py
+++ b/harness/cluster_checks.py
@@ -1,4 +1,7 @@
-"""Invariants of a simulated cluster: Raft's safety properties (figure 3.2) and the durability of drains."""
+"""Invariants of a simulated cluster: Raft's safety properties and the durability of drains.
+
+The safety properties are those of figure 3.2 of Ongaro's dissertation (see `limerudder.store.raft`).
+"""
 
 from __future__ import annotations
 
--- a/harness/fault_plan.py
+++ b/harness/fault_plan.py
@@ -26,9 +26,7 @@
     drain_interval: float = 0.4
     maintenance_interval: float = 0.9
     max_restart_seconds: float = 0.6  # maximum delay before a crashed process restarts
-    critical_crash_probability: float = (
-        0.02  # probability of a crash soon after a granted vote or won election
-    )
+    critical_crash_probability: float = 0.02  # chance of a crash soon after a granted vote or won election
     max_concurrent_changes: int = 1  # maximum number of membership changes requested at once
     min_voters: int = 3  # removals leave at least this many voters
     max_delay_ms: float = 3.0  # maximum delay of a message, except for long delays
--- a/harness/slow_start_fleet.py
+++ b/harness/slow_start_fleet.py
@@ -46,21 +46,21 @@
 CONNECT_US = 20_000
 RECONNECT_SECONDS = (0.1, 1.0)
 CHANCE_DEVIATIONS = 2.0  #: Standard deviations by which attempts may exceed a budget by chance
-SMALL_BUDGET = 30  #: Calls per window; the operators allow a larger excess by chance for smaller budgets
+SMALL_BUDGET = 30  #: Attempts per window; the operators allow a larger excess by chance for smaller budgets
 
 
 def allowed_calls(budget: float) -> float:
-    """Return the operators' limit of calls to a server in slow start in one window."""
+    """Return the operators' limit of attempts at a server in slow start in one window."""
     if budget < SMALL_BUDGET:
         return budget + 3 * sqrt(budget) + 3
     return budget + 2 * sqrt(budget) + 2
 
 
 class Excess(NamedTuple):
-    """Calls to servers in slow start compared with the limit."""
+    """Attempts at servers in slow start compared with the limit."""
 
-    worst: float  #: Maximum ratio of calls to the limit in a window
-    windows: int  #: Number of windows with more calls than allowed
+    worst: float  #: Maximum ratio of attempts to the limit in a window
+    windows: int  #: Number of windows with more attempts than allowed
 
 
 class SlowStartFleet:
@@ -124,7 +124,7 @@
             self._deliver(node, EndpointUpdate(UpdateKind.DELTA, 2, self._entries(node, servers)))
 
     def restart_nodes(self, nodes: list[int], clock_step_us: int = 0) -> None:
-        """Restart nodes without state and with stepped clocks; their clients reconnect to random nodes."""
+        """Restart nodes without state, clocks ahead by `clock_step_us`; clients reconnect to random nodes."""
         for node in nodes:
             for key in [key for key in self._connections if key[0] == node]:
                 del self._connections[key]
@@ -133,11 +133,11 @@
             self.nodes[node] = self._start_node(node)
 
     def excess(self) -> Excess:
-        """Compare the calls to servers in slow start with the operators' limit, in all windows."""
+        """Compare the attempts at servers in slow start with the operators' limit, in all windows."""
         worst = 0.0
         windows = 0
-        for calls, budget in self._slow_start_windows():
-            share = calls / allowed_calls(budget)
+        for attempts, budget in self._slow_start_windows():
+            share = attempts / allowed_calls(budget)
             worst = max(worst, share)
             windows += share > 1
         return Excess(worst, windows)
@@ -150,12 +150,12 @@
         ratio above 1 would overload the server.
         """
         worst = 0.0
-        for calls, budget in self._slow_start_windows():
-            worst = max(worst, calls / (budget + deviations * sqrt(budget) + 2))
+        for attempts, budget in self._slow_start_windows():
+            worst = max(worst, attempts / (budget + deviations * sqrt(budget) + 2))
         return worst
 
     def _slow_start_windows(self) -> Iterator[tuple[int, float]]:
-        """Yield the calls in each window that ends with a call, and the budget at its first call."""
+        """Yield the attempts in each window that ends with an attempt, and the budget at its first one."""
         settings = self.settings
         for server, started in self.attempts.items():
             window_start = 0
--- a/harness/slow_start_processes.py
+++ b/harness/slow_start_processes.py
@@ -27,6 +27,6 @@
         age = (first - started) / WARM_UP_SECONDS
         capacity = baseline_rate * (start_share + (1 - start_share) * age)
         budget = INVARIANTS["overloadFactor"] * capacity * WINDOW_SECONDS
-        calls = sum(first <= arrival < first + WINDOW_SECONDS for arrival in arrivals[position:])
-        worst = max(worst, calls / allowed_calls(budget))
+        requests = sum(first <= arrival < first + WINDOW_SECONDS for arrival in arrivals[position:])
+        worst = max(worst, requests / allowed_calls(budget))
     return worst
--- a/harness/stand_ins.py
+++ b/harness/stand_ins.py
@@ -41,7 +41,8 @@
     def publish_changes(self) -> None:
         """Send the entries that changed since the last call to all watches, as a new generation.
 
-        Hosts that are no longer listed are sent as left. New watches start with the complete list.
+        Hosts that are no longer listed are sent with the lifecycle `left`. New watches start with the full
+        list.
         """
         self.generation += 1
         removed = [
--- a/limerudder/loadtest/rule_checker.py
+++ b/limerudder/loadtest/rule_checker.py
@@ -44,7 +44,7 @@
     answer_grace_us: int = 20_000  #: Time allowed after a client's deadline
     drain_grace_us: int = 500_000  #: Time allowed for new attempts after the notice that a server drains
     warm_up_us: int = 24 * MICROSECONDS_PER_SECOND
-    initial_capacity: float = 0.13  #: Share of the capacity after a start; grows linearly to 1
+    initial_capacity: float = 0.13  #: Share of the capacity after a start; grows linearly to 1 during warm-up
     overload_factor: float = 3.0  #: Allowed multiple of the current capacity within any window
     overload_window_us: int = 2 * MICROSECONDS_PER_SECOND  #: Length of the window
     chance_allowance: int = 2  #: Attempts allowed above that limit, for random variation
