--- a/harness/slow_start_fleet.py
+++ b/harness/slow_start_fleet.py
@@ -49,7 +49,7 @@
 SMALL_BUDGET = 30  #: Attempts per window; the operators allow a larger excess by chance for smaller budgets
 
 
-def allowed_calls(budget: float) -> float:
+def allowed_attempts(budget: float) -> float:
     """Return the operators' limit of attempts at a server in slow start in one window."""
     if budget < SMALL_BUDGET:
         return budget + 3 * sqrt(budget) + 3
@@ -137,7 +137,7 @@
         worst = 0.0
         windows = 0
         for attempts, budget in self._slow_start_windows():
-            share = attempts / allowed_calls(budget)
+            share = attempts / allowed_attempts(budget)
             worst = max(worst, share)
             windows += share > 1
         return Excess(worst, windows)
--- a/harness/slow_start_processes.py
+++ b/harness/slow_start_processes.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from harness.configurations import SECOND, settings
-from harness.slow_start_fleet import allowed_calls
+from harness.slow_start_fleet import allowed_attempts
 
 INVARIANTS = settings()["invariants"]
 WINDOW_SECONDS = INVARIANTS["overloadForUs"] / SECOND
@@ -28,5 +28,5 @@
         capacity = baseline_rate * (start_share + (1 - start_share) * age)
         budget = INVARIANTS["overloadFactor"] * capacity * WINDOW_SECONDS
         requests = sum(first <= arrival < first + WINDOW_SECONDS for arrival in arrivals[position:])
-        worst = max(worst, requests / allowed_calls(budget))
+        worst = max(worst, requests / allowed_attempts(budget))
     return worst
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from harness.slow_start_fleet import allowed_calls
+from harness.slow_start_fleet import allowed_attempts
 from limerudder.policy.actions import LogMessage, StartAttempt
 from limerudder.policy.events import (
     FLAG_RECONNECT,
@@ -73,7 +73,7 @@
             capacity_share = 0.25 + 0.75 * (first - started_us) / MINIMAL_SETTINGS.warm_up_us
             budget = 2 * capacity_share * 20 / 9
             calls = sum(first <= arrival < first + SECOND for arrival in arrivals)
-            assert calls <= allowed_calls(budget)
+            assert calls <= allowed_attempts(budget)
     assert attempts_at_new_server > 0
 
 
