--- a/harness/cluster_checks.py
+++ b/harness/cluster_checks.py
@@ -1,4 +1,7 @@
-"""Invariants of a simulated cluster: Raft's safety properties (figure 3.2) and the durability of drains."""
+"""Invariants of a simulated cluster: Raft's safety properties and the durability of drains.
+
+The safety properties are those of figure 3.2 of Ongaro's dissertation (see `limerudder.store.raft`).
+"""
 
 from __future__ import annotations
 
@@ -41,13 +44,13 @@
         self._environment = environment
         self._members = members
         self.leaders_by_term: dict[int, int] = {}
-        self.committed: dict[int, CommittedEntry] = {}  # keyed by index
+        self.committed: dict[int, CommittedEntry] = {}  # committed entries by index
         self.committed_index = 0
-        self.commands: dict[int, bytes] = {}  # committed commands, keyed by index
-        self.durable_drains: dict[tuple[int, str], int] = {}  # start times, keyed by member and host
-        self._state_digests: dict[int, int] = {}  # keyed by applied index
-        self._checked_index: dict[int, int] = {}  # keyed by member
-        self._checked_leader_term: dict[int, int] = {}  # keyed by member
+        self.commands: dict[int, bytes] = {}  # committed commands by index
+        self.durable_drains: dict[tuple[int, str], int] = {}  # hosts' start times by member and host
+        self._state_digests: dict[int, int] = {}  # digests by applied index
+        self._checked_index: dict[int, int] = {}  # last checked index by member
+        self._checked_leader_term: dict[int, int] = {}  # last checked term as leader, by member
 
     def running_members(self) -> list[SimulatedMember]:
         """Return the members whose process is running."""
@@ -160,7 +163,7 @@
             if member_id == member.member_id and not drain_log.effective_record(host).excludes(started_ms):
                 raise InvariantError(
                     f"{self._environment.describe_time()}, {member.name}:"
-                    f" lost the durable drain of {host} (started at {started_ms} ms)"
+                    f" lost the durable drain of {host} (host started at {started_ms} ms)"
                 )
 
     def check_drains_agreed(self, members: Iterable[SimulatedMember], config_ids: set[int]) -> None:
@@ -171,7 +174,7 @@
                 if member_id in config_ids and not drain_log.effective_record(host).excludes(started_ms):
                     raise InvariantError(
                         f"seed {self._environment.seed}, end: {member.name} lacks the"
-                        f" drain of {host} (started at {started_ms} ms)"
+                        f" drain of {host} (host started at {started_ms} ms)"
                     )
 
 
