--- a/limerudder/cue/concrete_values.py
+++ b/limerudder/cue/concrete_values.py
@@ -28,7 +28,7 @@
                 default = _default(value)
                 if default is not None:
                     return self.concretize(default, path, position)
-        message = f"{format_path(path)}: no value given, expected {value}"
+        message = f"{format_path(path)}: nothing is said, expected {value}"
         self.errors.append(SourceError(position, message))
         return None
 
--- a/limerudder/cue/literals.py
+++ b/limerudder/cue/literals.py
@@ -47,7 +47,7 @@
     digits = match[1].replace("_", "")
     unit = match[2].replace("µ", "u")
     if len(digits) > MAX_DIGITS:
-        message = f"a number of {len(digits)} digits; at most {MAX_DIGITS} are allowed"
+        message = f"a number of {len(digits)} digits; at most {MAX_DIGITS} are read"
         errors.append(SourceError(position, message))
         return Literal(position, Kind.INT, 0, text)
     is_fraction = "." in digits
@@ -58,6 +58,6 @@
         return Literal(position, Kind.SIZE, round(number * SIZE_UNITS_BYTES[unit]), text)
     if unit:
         known_units = ", ".join([*DURATION_UNITS_US, *SIZE_UNITS_BYTES])
-        errors.append(SourceError(position, f"{text} has the unknown unit {unit}; units are {known_units}"))
+        errors.append(SourceError(position, f"{text} has the unit {unit}; there are {known_units}"))
     kind = Kind.FLOAT if is_fraction else Kind.INT
     return Literal(position, kind, number, text)
--- a/limerudder/cue/unification.py
+++ b/limerudder/cue/unification.py
@@ -76,7 +76,7 @@
     def _no_alternative_fits(
         self, left: Value, right: Value, failures: list[list[SourceError]], path: Path
     ) -> Value:
-        """Report the errors within the alternative with the fewest, or else a conflict with all of them."""
+        """Report the errors within the best matching alternative, or else a conflict with all of them."""
         nested = [errors for errors in failures if all(_depth(error) > len(path) for error in errors)]
         without_conflict = [
             errors for errors in failures if not any(" stands here, " in error.text for error in errors)
--- a/limerudder/cue/values.py
+++ b/limerudder/cue/values.py
@@ -137,7 +137,7 @@
         names = list(self.fields)
         if not self.closed:
             names.append("...")
-        return "a struct {" + ", ".join(names) + "}"
+        return "a record {" + ", ".join(names) + "}"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_cue.py
+++ b/tests/test_cue.py
@@ -94,19 +94,19 @@
         ("count: 10", "lab.cue:1:8: count: 10 stands here, expected 3 | int & >=1 & <=9"),
         ("count: 2.5", "count: 2.5 stands here"),
         ("wait: 3", "wait: 3 stands here, expected 250ms | duration & >0ms"),
-        ("wait: 3days", "3days has the unknown unit days; units are us, ms, s"),
+        ("wait: 3days", "3days has the unit days; there are us, ms, s"),
         ("cuont: 3", "lab.cue:1:1: cuont: no such field; did you mean count?"),
         ("members: [{name: 3, address: #Nowhere}]", "#Nowhere is not defined"),
         ("members: [{name: 3}]", "members.0.name: 3 stands here, expected string"),
-        ('members: [{name: "a"}]', "members.0.address: no value given"),
+        ('members: [{name: "a"}]', "members.0.address: nothing is said"),
         ("limits: {x: -1}", "limits.x: -1 stands here, expected int & >=0"),
-        ('either: {kind: "b"}', "either.width: no value given, expected int"),
+        ('either: {kind: "b"}', "either.width: nothing is said, expected int"),
         ('either: {kind: "c"}', "either"),
         ("pair: [1]", "pair: a list of 1 items stands here, expected a list of 2 items"),
         ("note: [1]", "note: a list of 1 items stands here, expected string"),
         ('mode: "on"\nmode: "off"', 'mode: "on" stands here, expected "off"'),
         ('note: "a" & "b"', 'stands here, expected "'),
-        ("count: count", "reference cycle, or"),
+        ("count: count", "a reference leads back to itself"),
         ("count: >=true", "true stands here, expected an ordered value"),
         ('note: =~"("', "is not a valid regular expression"),
         ('note: "\\q"', "is not a valid string: invalid escape sequence or character"),
@@ -139,11 +139,9 @@
 
 def test_references_are_limited_in_depth_and_number() -> None:
     chain = "".join(f"#A{n}: #A{n + 1}\n" for n in range(500)) + "#A500: 3\ncount: #A0\n" + REQUIRED_FIELDS
-    assert any("expand too far" in line for line in reported_errors(chain))
+    assert any("or too far" in line for line in reported_errors(chain))
     doubling = "".join(f"#B{n}: {{a: #B{n + 1}, b: #B{n + 1}}}\n" for n in range(40)) + "#B40: 1\n"
-    assert any(
-        "expand too far" in line for line in reported_errors(doubling + "note: #B0\n" + REQUIRED_FIELDS)
-    )
+    assert any("or too far" in line for line in reported_errors(doubling + "note: #B0\n" + REQUIRED_FIELDS))
 
 
 # fmt: off
