--- a/limerudder/__main__.py
+++ b/limerudder/__main__.py
@@ -13,7 +13,8 @@
     signals = StartupSignals()
     signals.install()
     open_standard_descriptors()
-    # imported here: it takes most of the start-up time, and an unhandled signal would end the process
+    # imported after the handlers are installed: the import takes most of the start-up time, and an unhandled
+    # signal would end the process
     from limerudder.node_main import NodeMain
 
     return NodeMain(signals).run()
--- a/limerudder/config.py
+++ b/limerudder/config.py
@@ -30,7 +30,7 @@
     peer_listen: Address | None = None
     peers: tuple[Address, ...] = ()
     peers_all: Address | None = None
-    console: Address | None = None  # address for operators
+    console: Address | None = None  # address at which operators connect
     state: str | None = None  # path of the directory that persists across processes, if any
     operator: OperatorFile | None = None  # content of the operator's file, if there is one
 
@@ -102,7 +102,8 @@
 def _identity_text(config: ProcessConfig) -> str:
     """Return the text whose hash is part of the state directory's name.
 
-    The text is a persistent format: processes of earlier releases build exactly the same text.
+    The text is a persistent format: processes of earlier releases build exactly the same text, with these
+    words in it.
     """
     settings = config.settings
     names = config.names
--- a/limerudder/net/log_writer.py
+++ b/limerudder/net/log_writer.py
@@ -30,7 +30,7 @@
         self.lines_dropped = 0  #: Number of lines dropped since the last line written
         self._descriptor = descriptor
         self._mode = 0  # file mode of the descriptor; 0 if it is closed
-        self._reopened_pipe: int | None = None  # None for other files than a pipe
+        self._reopened_pipe: int | None = None  # None until a pipe is opened, and for other files
         self._line_remainder = b""  # the unwritten rest of a partly written line
         with suppress(OSError):
             self._mode = os.fstat(descriptor).st_mode
--- a/limerudder/net/mark_files.py
+++ b/limerudder/net/mark_files.py
@@ -33,7 +33,7 @@
         os.close(os.open(self._path(name), os.O_CREAT | os.O_WRONLY, FILE_MODE))
 
     def remove(self, name: str) -> None:
-        """Remove the mark of this name; it may be gone already."""
+        """Remove the mark of this name; it may have been removed already."""
         with suppress(FileNotFoundError):
             os.unlink(self._path(name))
 
--- a/limerudder/net/shortage.py
+++ b/limerudder/net/shortage.py
@@ -1,7 +1,8 @@
 """Transient errors of system calls: this process or its machine is temporarily out of a resource.
 
 Such an error says nothing about the remote side of a connection or about the configuration. It leads to a
-retry, never to an exit. The errors are those documented for Linux in socket(2), connect(2), bind(2), open(2).
+retry and not to an exit; only a start fails if the shortage lasts for START_RETRY_SECONDS. The errors are
+those documented for Linux in socket(2), connect(2), bind(2), open(2).
 """
 
 from __future__ import annotations
--- a/limerudder/node_process.py
+++ b/limerudder/node_process.py
@@ -68,7 +68,7 @@
 
 
 class NodeProcess:
-    """Builds a node and its environment, and runs it. Must be created in the running event loop."""
+    """Builds a node with its sockets and store, and runs it. Must be created in the running event loop."""
 
     def __init__(
         self,
@@ -135,7 +135,7 @@
 
         Raises ConfigError or OSError.
         """
-        # before any listener opens: an unhandled signal would end the process with all its connections
+        # before any listener opens: an unhandled signal would end the process with everything that it owns
         self._install_signal_handlers()
         self._open_console()
         self._node.load_endpoints(self._clock.now_us())
--- a/limerudder/store/cli.py
+++ b/limerudder/store/cli.py
@@ -56,7 +56,7 @@
 @state.command(epilog=EXAMPLES + "  limerudder state hosts")
 @pass_session
 def hosts(session: CommandSession) -> None:
-    """Print this node's records of hosts: drains, holds, returns; and whether the members agreed on each."""
+    """Print this node's records of hosts (drains, holds, returns) and whether the members agreed on each."""
     answer = session.call("hosts")
     session.show(answer, answer["hosts"])
 
--- a/limerudder/store/client.py
+++ b/limerudder/store/client.py
@@ -16,7 +16,7 @@
 )
 
 MILLISECONDS_PER_SECOND = 1000
-SOCKET_TIMEOUT_MARGIN_SECONDS = 2  #: Time added to a call's requested wait
+SOCKET_TIMEOUT_MARGIN_SECONDS = 2  #: Time by which the socket's timeout exceeds a call's wait
 
 
 class ControlUnavailableError(Exception):
--- a/limerudder/store/control_protocol.py
+++ b/limerudder/store/control_protocol.py
@@ -1,10 +1,10 @@
-"""The protocol of the control socket: JSON lines with one call per line, answered in order.
+"""The protocol of the control socket: JSON lines with one call per line.
 
 A call is `{"call": NAME, …}`; its answer is `{"ok": true, …}`, or
 `{"ok": false, "kind": KIND, "error": TEXT}` with a kind of ControlErrorKind. `wait_ms` in a call is the time
-that the caller waits for the answer. A `tag`, which may be any JSON value, is echoed in the answer. Values of
-keys are text; those that are not UTF-8 are `{"base64": …}`. A `watch` is answered with a line for each
-change until the caller disconnects.
+that the caller waits for the answer. Calls start in order, but are answered as they complete: a `tag`, which
+may be any JSON value, is echoed in the answer. Values of keys are text; those that are not UTF-8 are
+`{"base64": …}`. The answer to a `watch` is followed by a line for each change until the caller disconnects.
 """
 
 from __future__ import annotations
--- a/limerudder/store/node_bridge.py
+++ b/limerudder/store/node_bridge.py
@@ -44,7 +44,7 @@
     is_listed: Callable[[str], bool]  # Whether discovery lists the host of this name
     refresh_endpoint: Callable[[str, int], None]  # Re-evaluates a host's listed state; parameters: host, now
     endpoint_list: Callable[[], EndpointList]  # Discovery's list according to the node
-    return_to_service_times: Callable[[], dict[str, int]]  # When operators returned each host to service
+    return_to_service_times: Callable[[], dict[str, int]]  # Last return to service of each host, by name
     apply_return_to_service_times: Callable[[dict[str, int], int], None]  # Parameters: stored times, now
 
 
@@ -92,7 +92,7 @@
         return config
 
     async def run(self, node: NodeHooks, bound_socket: socket.socket) -> None:
-        """Connect to the other members on a bound socket; keep a node with known endpoints up to date."""
+        """Connect to the other members on a bound socket; keep a node that has loaded its list up to date."""
         self._node = node
         await self._store.run(bound_socket)
         await self._control.listen()
--- a/limerudder/store/peer_authentication.py
+++ b/limerudder/store/peer_authentication.py
@@ -103,7 +103,7 @@
         self._unsaved_proofs[handshake.sender_id] = proof
 
     def record_acknowledgement(self, sender_id: int, term: int, index: int) -> None:
-        """Records that a member has acknowledged the log up to an entry, which its disk must contain."""
+        """Records that a member has acknowledged the log up to an entry, and so has it on its disk."""
         proof = self._proofs.get(sender_id)
         if proof and (term, index) > (proof.term, proof.index):
             # Not added to the unsaved proofs: it becomes durable here only with the member's next incarnation
--- a/limerudder/store/peer_transport.py
+++ b/limerudder/store/peer_transport.py
@@ -1,6 +1,7 @@
 """Connections of a member to all other members.
 
-Each pair of members has up to two connections, one dialled by each side; a message is sent on either of them.
+Each pair of members has up to two connections, one dialled by each side; messages are sent on the one that
+this member dialled, or on the other one if that is not established.
 Messages may be lost: Raft and the requests to the leader retry what is not answered.
 """
 
@@ -16,7 +17,7 @@
 from limerudder.store.peer_connection import UNKNOWN_MEMBER, PeerConnection, PeerHandler
 from limerudder.store.raft.messages import ClusterConfig
 
-REDIAL_SECONDS = 0.1  #: Delay after a failed or closed connection
+REDIAL_SECONDS = 0.1  #: Delay before dialling again after a failed or closed connection
 MAX_UNAUTHENTICATED = 64  #: Maximum accepted connections without a handshake; above it the oldest is closed
 
 
--- a/limerudder/store/rpc.py
+++ b/limerudder/store/rpc.py
@@ -38,7 +38,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag="Told"):
-    """The leader's reply to the request of this number."""
+    """The reply to the request of this number, normally by the leader."""
 
     number: int
     status: ReplyStatus
--- a/limerudder/store_runtime.py
+++ b/limerudder/store_runtime.py
@@ -25,11 +25,12 @@
     from limerudder.store.node_bridge import NodeHooks, NodeStoreBridge
 
 OPEN_RETRY_INTERVAL_SECONDS = 0.05  #: Interval while another process of this node owns the store's directory
-OPEN_WARNING_SECONDS = 5.0  #: Waiting time after which a warning is logged
+OPEN_WARNING_SECONDS = 5.0  #: Time after which the log warns that the directory is still in use
 DONE_ANSWER = "done\n"  #: Console answer to a successful call
 
-ConfigureLog = Callable[[str, int, float], None]  #: Arguments: format, lines per kind and window, window in s
-AnnounceDrain = Callable[[str, int], None]  #: Arguments: name of the upstream, its start time in ms
+#: Parameters: format, maximum lines of a kind in a window, length of the window in seconds
+ConfigureLog = Callable[[str, int, float], None]
+AnnounceDrain = Callable[[str, int], None]  #: Parameters: name of the upstream, its start time in ms
 
 
 class StoreRuntime:
--- a/tests/test_store_multi_process.py
+++ b/tests/test_store_multi_process.py
@@ -70,7 +70,7 @@
 
 
 async def kill_nodes_amid_writes(tier: MultiProcessTier) -> dict[str, int]:
-    """Kill the nodes in overlapping order; return the revisions of the writes acknowledged meanwhile."""
+    """Kill the nodes in overlapping order; return the revisions of writes acknowledged by then."""
     acknowledged: dict[str, int] = {}
     writing = asyncio.create_task(write_continuously(tier, acknowledged))
     # The number of writes between the kills depends on the machine's speed, so wait for a minimum
