--- a/limerudder/cli.py
+++ b/limerudder/cli.py
@@ -41,7 +41,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group with commands that are imported only when they are invoked."""
+    """A group in which some commands are imported only when they are invoked."""
 
     def __init__(self, *args: Any, lazy_commands: dict[str, LazyCommand], **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
--- a/limerudder/net/socket_handover.py
+++ b/limerudder/net/socket_handover.py
@@ -113,7 +113,7 @@
         clock: Clock,
         log: LogSink,
     ) -> None:
-        """Each connection starts with `state_line()` and the sockets; a machine of the factory drives the rest."""
+        """Connections start with `state_line()` and the sockets; a machine of the factory drives the rest."""
         self._directory = directory
         self._sockets = sockets
         self._state_line = state_line
--- a/limerudder/node_main.py
+++ b/limerudder/node_main.py
@@ -83,8 +83,8 @@
 def limit_descriptors(config: ProcessConfig) -> ProcessConfig:
     """Limit the descriptors of this process as configured; return the configuration with the usable number.
 
-    Exceeding it then fails in this process instead of violating the platform's limit. Raises ConfigError if
-    the limit is too low for a node to serve.
+    Opening a descriptor too many then fails in this process instead of violating the platform's limit. Raises
+    ConfigError if the limit is too low for a node to serve.
     """
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard_limit != resource.RLIM_INFINITY:
--- a/limerudder/store/control_session.py
+++ b/limerudder/store/control_session.py
@@ -28,7 +28,7 @@
 
 
 class ControlSession(asyncio.Protocol):
-    """Receives calls and sends their answers; a member of `open_sessions` while connected."""
+    """Receives calls and sends their answers; `open_sessions` contains it while it is connected."""
 
     def __init__(self, store: Store, open_sessions: set[ControlSession]) -> None:
         self._store = store
--- a/limerudder/store_runtime.py
+++ b/limerudder/store_runtime.py
@@ -24,7 +24,8 @@
     from limerudder.schema import StoreSettings
     from limerudder.store.node_bridge import NodeHooks, NodeStoreBridge
 
-OPEN_RETRY_INTERVAL_SECONDS = 0.05  #: Interval while another process of this node owns the store's directory
+#: Interval of attempts to open the store while another process of this node owns its directory
+OPEN_RETRY_INTERVAL_SECONDS = 0.05
 OPEN_WARNING_SECONDS = 5.0  #: Time after which the log warns that the directory is still in use
 DONE_ANSWER = "done\n"  #: Console answer to a successful call
 
--- a/tests/test_store_multi_process.py
+++ b/tests/test_store_multi_process.py
@@ -159,17 +159,19 @@
     async def scenario(tier: MultiProcessTier) -> None:
         await tier.start()
         await tier.wait_until_settled()
-        alone = tier.nodes[0]
+        surviving_node = tier.nodes[0]
         for node in tier.nodes[1:]:
             await node.kill()
         tier.start_clients(4)
-        assert await alone.call_console("maint-on h1") == "done", "the hold must be durable without a quorum"
-        put = await alone.call_store("put", 0.5, key="kv/a", value="1")
+        assert (
+            await surviving_node.call_console("maint-on h1") == "done"
+        ), "the hold must be durable without a quorum"
+        put = await surviving_node.call_store("put", 0.5, key="kv/a", value="1")
         assert put["kind"] in ("not_now", "unsure")
-        await alone.kill()
-        await alone.start()
+        await surviving_node.kill()
+        await surviving_node.start()
         since = time.monotonic()
-        assert (await alone.call_store("hosts"))["hosts"][0]["held"]
+        assert (await surviving_node.call_store("hosts"))["hosts"][0]["held"]
         answered = tier.answer_counts["UP"]
         await wait_until(
             lambda: tier.answer_counts["UP"] > answered + 10, "clients are served without a quorum"
