--- a/limerudder/node_process.py
+++ b/limerudder/node_process.py
@@ -135,7 +135,7 @@
 
         Raises ConfigError or OSError.
         """
-        # before any listener opens: an unhandled signal would end the process with everything that it owns
+        # precedes all listeners, since an unhandled signal would end the process with everything that it owns
         self._install_signal_handlers()
         self._open_console()
         self._node.load_endpoints(self._clock.now_us())
--- a/limerudder/store/status.py
+++ b/limerudder/store/status.py
@@ -49,8 +49,8 @@
     role: str
     is_leader: bool = msgspec.field(name="leads")
     is_connected: bool = msgspec.field(name="connected")
-    match_index: int | None = msgspec.field(name="match")  # None for another member unless this one leads
-    # Time since the member's last message; None unless this member leads, and always None for itself
+    match_index: int | None = msgspec.field(name="match")  # None unless the answering member leads or is it
+    # Time since the member's last message; None unless the answering member leads, and for itself
     last_heard_ms: int | None = msgspec.field(name="heard_ms")
 
 
--- a/tests/test_start_with_many_hosts.py
+++ b/tests/test_start_with_many_hosts.py
@@ -21,7 +21,7 @@
 CLIENTS = 6
 SERVED_REQUESTS = 40
 SHORTAGE_MS = 1200  #: Duration of the shortage from the start of the process
-STOP_SECONDS = 3.7  #: Time from the platform's SIGTERM to its earliest SIGKILL
+STOP_SECONDS = 3.7  #: Time from SIGTERM to the earliest SIGKILL
 
 
 def run_scenario(
