--- a/limerudder/core/lifecycle/hot_restart/node_binding.py
+++ b/limerudder/core/lifecycle/hot_restart/node_binding.py
@@ -38,12 +38,12 @@
 
     def hand_over() -> None:
         node.has_successor = True
-        node.release_turns()
+        node.stop_using_turns()
         stop_accepting()
 
     def resume_serving() -> None:
         node.has_successor = False
-        node.acquire_turns()
+        node.start_using_turns()
         resume_accepting()
 
     hooks = ParentHooks(
@@ -69,10 +69,10 @@
     """Create the successor's side for a node that was built with the parent's endpoint list."""
 
     def serve() -> None:
-        node.acquire_turns(HANDOVER_OVERLAP_US)
+        node.start_using_turns(HANDOVER_OVERLAP_US)
         start_serving()
 
-    node.release_turns()
+    node.stop_using_turns()
     hooks = SuccessorHooks(
         is_ready_to_serve=node.is_ready_to_serve,
         set_parent_usage=node.set_other_process_usage,
--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -279,11 +279,11 @@
         """Return this process's usage of the resources that the node's processes share."""
         return self._resource_sharing.usage()
 
-    def release_turns(self) -> None:
+    def stop_using_turns(self) -> None:
         """Stop sending to upstreams in slow start; another process uses this node's turns."""
         self.timer_wheel.schedule(0, partial(self._set_turn_ownership, False))
 
-    def acquire_turns(self, delay_us: int = 0) -> None:
+    def start_using_turns(self, delay_us: int = 0) -> None:
         """Use this node's turns at upstreams in slow start after a delay; by then no other process does."""
 
         def schedule(now_us: int) -> None:
@@ -327,7 +327,7 @@
         """Reject new requests and migrate clients in steps, finishing before the earliest SIGKILL."""
         if self.shutdown_deadline_us:
             return
-        self.release_turns()  # the process that replaces this one may already be running
+        self.stop_using_turns()  # the process that replaces this one may already be running
         longest_deadline_us = max(traffic_class.deadline_us for traffic_class in self.settings.classes)
         self.shutdown_deadline_us = earliest_kill_time_us(longest_deadline_us, now_us)
         hooks = ShutdownHooks(
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -62,10 +62,10 @@
     number = testbed.node.upstreams.by_name["s-1"].number
     testbed.run(2 * SECOND + 5000)
     assert testbed.node.balancer.confirm_send(0, number, testbed.now)
-    testbed.node.release_turns()
+    testbed.node.stop_using_turns()
     testbed.run(4 * SECOND)
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
-    testbed.node.acquire_turns(delay_us=SECOND)
+    testbed.node.start_using_turns(delay_us=SECOND)
     testbed.run(5000)
     assert not testbed.node.balancer.confirm_send(0, number, testbed.now)
     testbed.run(4 * SECOND)
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -310,10 +310,10 @@
     def log(self, kind: LogKind, text: str, /, detail: str = "") -> None:
         """Ignored in these tests."""
 
-    def release_turns(self) -> None:
+    def stop_using_turns(self) -> None:
         """Ignored in these tests."""
 
-    def acquire_turns(self, delay_us: int = 0) -> None:
+    def start_using_turns(self, delay_us: int = 0) -> None:
         """Ignored in these tests."""
 
     def endpoint_list(self) -> EndpointList:
