--- a/limerudder/core/discovery/drain_memory.py
+++ b/limerudder/core/discovery/recorded_drains.py
@@ -10,7 +10,7 @@
 NEVER_STARTED_MS = -1  #: Time before any start
 
 
-class DrainMemory(Protocol):
+class RecordedDrains(Protocol):
     """Records which start of each upstream is draining. Once drained, a start never serves again."""
 
     def observe(self, endpoint: Endpoint) -> bool:
--- a/limerudder/core/lifecycle/hot_restart/node_binding.py
+++ b/limerudder/core/lifecycle/hot_restart/node_binding.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from limerudder.core.discovery.drain_memory import InheritedDrains
+from limerudder.core.discovery.recorded_drains import InheritedDrains
 from limerudder.core.lifecycle.hot_restart.handover_state import HandoverState
 from limerudder.core.lifecycle.hot_restart.parent import HotRestartParent, ParentHooks
 from limerudder.core.lifecycle.hot_restart.successor import HotRestartSuccessor, SuccessorHooks
@@ -27,7 +27,7 @@
         usage=node.resource_usage(),
         return_to_service_times=node.return_to_service_times(),
         config_reloaded=node.config_reloaded,
-        drained_starts=node.drain_memory.drained_starts() if node.drain_memory else {},
+        drained_starts=node.recorded_drains.drained_starts() if node.recorded_drains else {},
     )
 
 
@@ -87,6 +87,6 @@
 
 def _record_drain(node: Node, name: str, started_ms: int, now_us: int) -> None:
     """Record a drain reported by the parent, unless this process already reads the store itself."""
-    if isinstance(node.drain_memory, InheritedDrains):
-        node.drain_memory.record_drain(name, started_ms)
+    if isinstance(node.recorded_drains, InheritedDrains):
+        node.recorded_drains.record_drain(name, started_ms)
         node.refresh_endpoint(name, now_us)
--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -8,8 +8,8 @@
 
 from limerudder.core.client.admission import AdmissionControl
 from limerudder.core.discovery.discovery_client import DiscoveryClient
-from limerudder.core.discovery.drain_memory import DrainMemory
 from limerudder.core.discovery.endpoint_list import EndpointList
+from limerudder.core.discovery.recorded_drains import RecordedDrains
 from limerudder.core.lifecycle.graceful_shutdown import (
     GracefulShutdown,
     ShutdownHooks,
@@ -72,7 +72,7 @@
         log: LogSink,
         now_us: int,
         marks: MaintenanceMarks | None = None,
-        drain_memory: DrainMemory | None = None,
+        recorded_drains: RecordedDrains | None = None,
     ) -> None:
         self.config = config
         self.settings = config.settings
@@ -103,7 +103,7 @@
         self.peering = Peering(self.balancer, services)
         self.upstreams = UpstreamRegistry()
         self._build_request_parts(services)
-        self._build_upstream_parts(services, drain_memory)
+        self._build_upstream_parts(services, recorded_drains)
         self.maintenance = Maintenance(marks or InMemoryMarks(), self._maintenance_effects, self.timer_wheel)
         self._resource_sharing = ResourceSharing(self.requests, self.upstreams, self.admission, services)
         is_pushed = self.settings.discovery == "pushed"
@@ -131,7 +131,7 @@
         )
         self.on_request_accepted = self.lifecycle.on_request_accepted
 
-    def _build_upstream_parts(self, services: NodeServices, drain_memory: DrainMemory | None) -> None:
+    def _build_upstream_parts(self, services: NodeServices, recorded_drains: RecordedDrains | None) -> None:
         self.health_checker = HealthChecker(
             self.upstreams, self.report_fields, lambda: self.admission.max_health_checks, services
         )
@@ -143,7 +143,7 @@
             self.health_checker,
             self.admission,
             lambda name: name in self.maintenance.hosts,
-            drain_memory,
+            recorded_drains,
             services,
         )
         self._maintenance_effects = MaintenanceEffects(self.upstreams, self._refresh_endpoint, services)
@@ -231,13 +231,13 @@
         self.endpoint_updater.refresh(name, self.discovery.version, kind, now_us)
 
     @property
-    def drain_memory(self) -> DrainMemory | None:
+    def recorded_drains(self) -> RecordedDrains | None:
         """The record of drains that outlasts discovery's list; None if there is none."""
-        return self.endpoint_updater.drain_memory
+        return self.endpoint_updater.recorded_drains
 
-    @drain_memory.setter
-    def drain_memory(self, drain_memory: DrainMemory | None) -> None:
-        self.endpoint_updater.drain_memory = drain_memory
+    @recorded_drains.setter
+    def recorded_drains(self, recorded_drains: RecordedDrains | None) -> None:
+        self.endpoint_updater.recorded_drains = recorded_drains
 
     # requests
 
--- a/limerudder/core/upstream/endpoint_updater.py
+++ b/limerudder/core/upstream/endpoint_updater.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 
 from limerudder.core.client.admission import AdmissionControl
-from limerudder.core.discovery.drain_memory import DrainMemory
 from limerudder.core.discovery.endpoint_list import Endpoint, EndpointList
+from limerudder.core.discovery.recorded_drains import RecordedDrains
 from limerudder.core.discovery.start_times import ListedStart, StartTimes
 from limerudder.core.node_config import Names
 from limerudder.core.operations.counters import CounterName
@@ -29,10 +29,10 @@
         health_checker: HealthChecker,
         admission: AdmissionControl,
         is_in_maintenance: Callable[[str], bool],
-        drain_memory: DrainMemory | None,
+        recorded_drains: RecordedDrains | None,
         services: NodeServices,
     ) -> None:
-        self.drain_memory = drain_memory  # Recorded drains, which outlast discovery's entries
+        self.recorded_drains = recorded_drains  # These outlast discovery's entries
         self._upstreams = upstreams
         self._start_times = StartTimes()
         self._names = names
@@ -119,7 +119,7 @@
     def _effective_state(self, endpoint: Endpoint) -> ServerState:
         """Return the worst of the listed state, recorded drains and maintenance."""
         # `observe` is called for every endpoint, because it also records those that are listed as draining.
-        drains = self.drain_memory.observe(endpoint) if self.drain_memory else False
+        drains = self.recorded_drains.observe(endpoint) if self.recorded_drains else False
         if endpoint.state == ServerState.READY and (drains or self._is_in_maintenance(endpoint.name)):
             return ServerState.DRAINING
         return endpoint.state
--- a/limerudder/node_process.py
+++ b/limerudder/node_process.py
@@ -190,10 +190,10 @@
 
     def _create_node(self) -> Node:
         parent_drains = self._inheritance.state.drained_starts if self._inheritance else {}
-        drain_memory = self._store.drain_memory(parent_drains)
+        recorded_drains = self._store.recorded_drains(parent_drains)
         now_us = self._clock.now_us()
         marks = self._store.marks(self._marks)
-        node = Node(self._config, self._network, self._log, now_us, marks, drain_memory)
+        node = Node(self._config, self._network, self._log, now_us, marks, recorded_drains)
         node.on_shutdown_complete = self._stopped.set
         node.config_reloaded = self._inheritance is not None and self._inheritance.state.config_reloaded
         return node
--- a/limerudder/store_runtime.py
+++ b/limerudder/store_runtime.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from limerudder.config import ProcessConfig
-from limerudder.core.discovery.drain_memory import DrainMemory, InheritedDrains
+from limerudder.core.discovery.recorded_drains import InheritedDrains, RecordedDrains
 from limerudder.core.node import Node
 from limerudder.core.node_config import ConfigError
 from limerudder.core.operations.console import DeferredAnswer
@@ -70,8 +70,8 @@
             raise ConfigError(f"store: {exc}") from exc
         return self._bridge.restore_config(config)
 
-    def drain_memory(self, parent_drains: dict[str, int]) -> DrainMemory | None:
-        """Return the drain memory: the store, or until it is open the drains inherited from the parent."""
+    def recorded_drains(self, parent_drains: dict[str, int]) -> RecordedDrains | None:
+        """Return the recorded drains: the store, or until it is open the drains inherited from the parent."""
         if self._settings is None:
             return None
         if self._bridge is not None:
@@ -132,7 +132,7 @@
         self._bridge = bridge
         if self._inherited_drains:
             bridge.record_inherited_drains(self._inherited_drains.unreported_drains)
-        node.drain_memory = bridge
+        node.recorded_drains = bridge
         node.maintenance.marks = self.marks(marks)
         try:
             await self._run_bridge(bridge, node, announce_drain)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -7,8 +7,8 @@
 import pytest
 
 from harness.configurations import LINE, SECOND, host, hosts
-from limerudder.core.discovery.drain_memory import InheritedDrains
 from limerudder.core.discovery.endpoint_list import parse_endpoint_list
+from limerudder.core.discovery.recorded_drains import InheritedDrains
 from limerudder.core.operations.maintenance import InMemoryMarks
 from limerudder.net.mark_files import MarkFiles
 from limerudder.policy.events import EndpointUpdate, ServerState
@@ -234,19 +234,19 @@
 
 def test_a_recorded_drain_outlives_the_list_and_ends_only_with_a_newer_start(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
-    drain_memory = InheritedDrains({"s-1": START_MS})
-    testbed.node.drain_memory = drain_memory
+    recorded_drains = InheritedDrains({"s-1": START_MS})
+    testbed.node.recorded_drains = recorded_drains
     for started_ms, drains in [(START_MS, True), (START_MS - 5, True), (START_MS + 1, False)]:
         entry = host("s-1") | {"startedAtMs": started_ms}
         testbed.node.endpoints_received(parse_endpoint_list(hosts(entry, host("s-2"))), testbed.now)
         assert (testbed.node.upstreams.by_name["s-1"].state == ServerState.DRAINING) == drains, started_ms
-    drain_memory.record_drain("s-1", START_MS + 9)
+    recorded_drains.record_drain("s-1", START_MS + 9)
     testbed.node.refresh_endpoint("s-1", testbed.now)
     assert testbed.node.upstreams.by_name["s-1"].state == ServerState.DRAINING
     leaving = host("s-2", lifecycle="leaving") | {"startedAtMs": 7}
     testbed.node.endpoints_received(parse_endpoint_list(hosts(leaving)), testbed.now)
-    assert drain_memory.unreported_drains == {"s-2": 7}
-    assert drain_memory.drained_starts() == {"s-1": START_MS + 9, "s-2": 7}
+    assert recorded_drains.unreported_drains == {"s-2": 7}
+    assert recorded_drains.drained_starts() == {"s-1": START_MS + 9, "s-2": 7}
     assert upstream_number(testbed, "s-2") and not testbed.node.is_listed("s-1")
 
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -14,8 +14,8 @@
 
 from harness.configurations import configuration, host, hosts
 from limerudder.config import load_config
-from limerudder.core.discovery.drain_memory import InheritedDrains
 from limerudder.core.discovery.endpoint_list import EndpointList, parse_endpoint_list
+from limerudder.core.discovery.recorded_drains import InheritedDrains
 from limerudder.core.lifecycle.hot_restart import (
     ProcessUsage,
     SuccessorConnection,
@@ -304,7 +304,7 @@
         self.has_successor = False
         self.config_reloaded = True
         self.on_request_accepted: list[Any] = []
-        self.drain_memory = InheritedDrains({"s-2": 1700000000123})
+        self.recorded_drains = InheritedDrains({"s-2": 1700000000123})
         self.notified: list[Any] = []
 
     def log(self, kind: LogKind, text: str, /, detail: str = "") -> None:
@@ -378,7 +378,7 @@
         "relist s-1",
         node.resource_usage(),
     ]
-    assert node.drain_memory.drained_starts() == {"s-1": 1700000000999, "s-2": 1700000000123}
+    assert node.recorded_drains.drained_starts() == {"s-1": 1700000000999, "s-2": 1700000000123}
     assert called == ["ready"]
     transport = _RecordingTransport()
     successor.connection_made(transport, 0)  # type: ignore[arg-type]
