--- a/harness/memory_disk.py
+++ b/harness/memory_disk.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 
 from limerudder.store.drain_log import decode_fact, encode_fact
-from limerudder.store.durability import DurabilityJob, DurableState, KnownValue
+from limerudder.store.durability import DurabilityJob, DurableState, PersistedValue
 from limerudder.store.peer_authentication import DurabilityProof, Incarnation
 from limerudder.store.raft.messages import ClusterConfig, Entry, Snapshot
 from limerudder.store.raft.persistence import (
@@ -28,7 +28,7 @@
     snapshot: Snapshot | None = None
     incoming_snapshot: IncomingSnapshot | None = None
     facts: dict[int, bytes] = field(default_factory=dict)  # encoded facts of the drain log by number
-    known: dict[str, KnownValue] = field(default_factory=dict)  # known values by store key
+    known: dict[str, PersistedValue] = field(default_factory=dict)  # persisted values by store key
     incarnation: Incarnation = field(default_factory=lambda: Incarnation(0, 0))
     proofs: dict[int, DurabilityProof] = field(default_factory=dict)  # proofs by member
 
@@ -59,8 +59,8 @@
             self.facts[fact_number] = encode_fact(fact)
         for fact_number in job.deleted_facts:
             self.facts.pop(fact_number, None)
-        for key, known_value in job.known_values.items():
-            self.known[key] = known_value
+        for key, persisted_value in job.persisted_values.items():
+            self.known[key] = persisted_value
         self.proofs.update(job.proofs)
         return built_snapshot
 
--- a/harness/mutations.py
+++ b/harness/mutations.py
@@ -203,7 +203,7 @@
         "self._finish_write_when_applied(host, outcome, now_us)",
         "self._drain_log.finish_write(host, outcome.revision if outcome.succeeded else None)",
     ),
-    Mutation("known records not persisted", MEMORY_DISK, "self.known[key] = known_value", "pass"),
+    Mutation("values of copied keys not persisted", MEMORY_DISK, "self.known[key] = persisted_value", "pass"),
     Mutation(
         "later drain with an earlier start replaces the record",
         DRAIN_LOG,
--- a/limerudder/store/__init__.py
+++ b/limerudder/store/__init__.py
@@ -4,7 +4,7 @@
 
 - `raft`: the consensus protocol;
 - `commands`, `sessions`, `state_machine`, `snapshots`: the versioned key-value state machine;
-- `drain_log`, `drain_replication`, `known_values`: facts about hosts, recorded even without a quorum;
+- `drain_log`, `drain_replication`, `persisted_values`: facts about hosts, recorded even without a quorum;
 - `client_calls`, `leader_requests`, `membership_requests`, `rpc`: client requests and their replies;
 - `log_applier`, `durability`, `durability_scheduler`: applying committed entries and making changes durable;
 - `peer_authentication`, `key_schema`, `limits`: validation of peers and writes;
--- a/limerudder/store/disk.py
+++ b/limerudder/store/disk.py
@@ -1,4 +1,4 @@
-"""A member's data directory: its durable log, snapshots, drain facts and last known values, in SQLite.
+"""A member's data directory: its durable log, snapshots, drain facts and persisted values, in SQLite.
 
 Each batch of jobs is one transaction, which is synced before `persist` returns (write-ahead log,
 `synchronous=FULL`). Every row contains a CRC-32, so that corrupted rows are detected and reported on loading.
--- a/limerudder/store/durability.py
+++ b/limerudder/store/durability.py
@@ -13,8 +13,8 @@
 from limerudder.store.snapshots import SnapshotView
 
 
-class KnownValue(NamedTuple):
-    """A member's last known value of a replicated key; `value` is None if the key was removed."""
+class PersistedValue(NamedTuple):
+    """A member's persisted copy of a replicated key; `value` is None if the key was removed."""
 
     modified_revision: int
     value: bytes | None
@@ -46,7 +46,7 @@
     snapshot: SnapshotJob | None = None
     new_facts: tuple[NumberedFact, ...] = ()
     deleted_facts: tuple[int, ...] = ()
-    known_values: Mapping[str, KnownValue] = field(default_factory=dict)  # key -> value
+    persisted_values: Mapping[str, PersistedValue] = field(default_factory=dict)  # key -> value
     proofs: Mapping[int, DurabilityProof] = field(default_factory=dict)  # member id -> proof
 
 
@@ -55,4 +55,4 @@
 
     raft_state: PersistentState
     drain_facts: Mapping[int, DrainFact]  # fact number -> fact
-    known_values: Mapping[str, KnownValue]  # key -> value
+    persisted_values: Mapping[str, PersistedValue]  # key -> value
--- a/limerudder/store/durability_scheduler.py
+++ b/limerudder/store/durability_scheduler.py
@@ -8,9 +8,9 @@
 from limerudder.store.calls import TimeCallback
 from limerudder.store.drain_log import DrainLog
 from limerudder.store.durability import DurabilityJob, SnapshotJob
-from limerudder.store.known_values import KnownValues
 from limerudder.store.limits import MemberLimits
 from limerudder.store.peer_authentication import DurabilityProof
+from limerudder.store.persisted_values import PersistedValues
 from limerudder.store.raft.messages import Snapshot
 from limerudder.store.raft.persistence import RaftWrite
 from limerudder.store.raft.raft import Raft
@@ -30,13 +30,13 @@
         raft: Raft,
         state: KeyValueState,
         drain_log: DrainLog,
-        known_values: KnownValues,
+        persisted_values: PersistedValues,
         limits: MemberLimits,
     ) -> None:
         self._raft = raft
         self._state = state
         self._drain_log = drain_log
-        self._known_values = known_values
+        self._persisted_values = persisted_values
         self._limits = limits
         self._last_job_number = 0
         self._raft_writes: dict[int, int] = {}  # job number -> Raft's number of its write
@@ -52,7 +52,9 @@
     def next_job(self, raft_write: RaftWrite | None) -> DurabilityJob | None:
         """Returns a job with all changes since the last one, or None if there are none."""
         snapshot = self._due_snapshot()
-        unsaved = self._drain_log.has_unsaved() or self._known_values.has_unsaved() or self._unsaved_proofs
+        unsaved = (
+            self._drain_log.has_unsaved() or self._persisted_values.has_unsaved() or self._unsaved_proofs
+        )
         if not (raft_write or snapshot or unsaved):
             return None
         self._last_job_number += 1
@@ -63,7 +65,7 @@
             snapshot,
             facts.added,
             facts.deleted,
-            self._known_values.take_unsaved(),
+            self._persisted_values.take_unsaved(),
             self._unsaved_proofs,
         )
         self._unsaved_proofs = {}
--- a/limerudder/store/endpoint_list_writer.py
+++ b/limerudder/store/endpoint_list_writer.py
@@ -52,7 +52,7 @@
             self._open_session(now_us)
             return
         value = json.dumps(format_endpoint_list(endpoint_list)).encode()
-        stored = self._store.member.known_value(ENDPOINT_LIST_KEY)
+        stored = self._store.member.persisted_value(ENDPOINT_LIST_KEY)
         self._written_version = endpoint_list.version
         if stored.value == value or len(value) > self._max_value_bytes:
             return
--- a/limerudder/store/log_applier.py
+++ b/limerudder/store/log_applier.py
@@ -6,7 +6,7 @@
 
 from limerudder.store.calls import TimeCallback
 from limerudder.store.commands import CommandResult
-from limerudder.store.known_values import KnownValues
+from limerudder.store.persisted_values import PersistedValues
 from limerudder.store.raft.messages import Entry, EntryKind, Snapshot
 from limerudder.store.state_machine import KeyValueState
 
@@ -19,15 +19,15 @@
 class LogApplier:
     """Keeps the replicated state and the locally persisted values up to date with the committed log."""
 
-    def __init__(self, state: KeyValueState, known_values: KnownValues) -> None:
+    def __init__(self, state: KeyValueState, persisted_values: PersistedValues) -> None:
         self._state = state
-        self._known_values = known_values
+        self._persisted_values = persisted_values
         self._waiters: list[_Waiter] = []
 
     def install(self, snapshot: Snapshot) -> None:
         """Replaces the replicated state with a snapshot; raises SnapshotError if it cannot be decoded."""
         self._state.restore(snapshot.chunks)
-        self._known_values.refresh()
+        self._persisted_values.refresh()
 
     def apply(self, entry: Entry) -> CommandResult | None:
         """Applies an entry; returns the result of its command, or None if it has no command."""
@@ -37,7 +37,7 @@
         previous_revision = self._state.revision
         result = self._state.apply(entry.index, entry.data)
         if self._state.revision != previous_revision:
-            self._known_values.refresh_changes(previous_revision)
+            self._persisted_values.refresh_changes(previous_revision)
         return result
 
     def when_applied(self, index: int, callback: TimeCallback, now_us: int) -> None:
--- a/limerudder/store/member.py
+++ b/limerudder/store/member.py
@@ -30,13 +30,13 @@
 )
 from limerudder.store.drain_log import DrainLog
 from limerudder.store.drain_replication import DrainReplicator
-from limerudder.store.durability import DurabilityJob, DurableState, KnownValue, SnapshotJob
+from limerudder.store.durability import DurabilityJob, DurableState, PersistedValue, SnapshotJob
 from limerudder.store.durability_scheduler import DurabilityScheduler
-from limerudder.store.known_values import KnownValues
 from limerudder.store.leader_requests import LeaderRequests
 from limerudder.store.limits import MemberLimits
 from limerudder.store.log_applier import LogApplier
 from limerudder.store.peer_authentication import DurabilityProof
+from limerudder.store.persisted_values import PersistedValues
 from limerudder.store.raft.messages import AppendEntries, ClusterConfig, Snapshot
 from limerudder.store.raft.output import RaftOutput
 from limerudder.store.raft.raft import Raft
@@ -93,18 +93,18 @@
         )
         self._limits = limits
         self._validate = validate
-        self._known_values = KnownValues(start.known_values, self.state, self.drain_log)
-        self._applier = LogApplier(self.state, self._known_values)
+        self._persisted_values = PersistedValues(start.persisted_values, self.state, self.drain_log)
+        self._applier = LogApplier(self.state, self._persisted_values)
         self._leader_requests = LeaderRequests(
             self.raft, self.state, self._send_reply, limits.max_pending_requests
         )
         self._scheduler = DurabilityScheduler(
-            self.raft, self.state, self.drain_log, self._known_values, limits
+            self.raft, self.state, self.drain_log, self._persisted_values, limits
         )
         self._drain_replicator = DrainReplicator(self.drain_log, self.state, self.raft, self, now_us)
         self._up_to_date_at_us = now_us  # last time the state was up to date with the leader's commit index
         self._output = MemberOutput()
-        self._known_values.refresh()
+        self._persisted_values.refresh()
 
     @property
     def config(self) -> ClusterConfig:
@@ -116,9 +116,9 @@
         """Whether this member is the leader."""
         return self.raft.role == RaftRole.LEADER
 
-    def known_value(self, key: str) -> KnownValue:
+    def persisted_value(self, key: str) -> PersistedValue:
         """Returns the latest locally available value of a key that the node needs at startup."""
-        return self._known_values.get(key)
+        return self._persisted_values.get(key)
 
     def max_staleness_us(self, now_us: int) -> int:
         """Returns the upper bound of the local state's age, based on the commit index sent by the leader."""
--- a/limerudder/store/node_bridge.py
+++ b/limerudder/store/node_bridge.py
@@ -158,7 +158,7 @@
             )
 
     def _stored_endpoint_list(self) -> EndpointList | None:
-        value = self._store.member.known_value(ENDPOINT_LIST_KEY).value
+        value = self._store.member.persisted_value(ENDPOINT_LIST_KEY).value
         if value is None:
             return None
         try:
--- a/limerudder/store/settings_applier.py
+++ b/limerudder/store/settings_applier.py
@@ -48,7 +48,7 @@
     def apply_changes(self) -> None:
         """Apply the settings that have changed since they were applied last."""
         for key in SETTINGS:
-            stored = self._member.known_value(key)
+            stored = self._member.persisted_value(key)
             if stored.value is None or stored.modified_revision <= self._applied_revisions.get(key, 0):
                 continue
             setting = self._read(key)
@@ -57,7 +57,7 @@
 
     def _read(self, key: str) -> Any:
         """Return a setting with its defaults, or None if there is none or it is invalid."""
-        stored = self._member.known_value(key)
+        stored = self._member.persisted_value(key)
         if stored.value is None:
             return None
         self._applied_revisions[key] = stored.modified_revision
--- a/limerudder/store/sqlite_reader.py
+++ b/limerudder/store/sqlite_reader.py
@@ -11,7 +11,7 @@
 
 from limerudder.store.disk_errors import DiskCorruptedError
 from limerudder.store.drain_log import DrainFact, decode_fact
-from limerudder.store.durability import DurableState, KnownValue
+from limerudder.store.durability import DurableState, PersistedValue
 from limerudder.store.peer_authentication import DurabilityProof
 from limerudder.store.raft.messages import (
     ClusterConfig,
@@ -59,11 +59,11 @@
         self._check_log_follows_snapshot(entries, snapshot)
         incoming_snapshot = self._incoming_snapshot()
         facts = self._drain_facts()
-        known_values = self._known_values()
+        persisted_values = self._persisted_values()
         hard_state = HardState(*self.require_meta(MetaName.HARD_STATE, tuple[int, int]))
         config = self.require_meta(MetaName.CONFIG, ClusterConfig)
         raft_state = PersistentState(hard_state, snapshot, entries, config, incoming_snapshot)
-        return DurableState(raft_state, facts, known_values)
+        return DurableState(raft_state, facts, persisted_values)
 
     def durability_proofs(self) -> dict[int, DurabilityProof]:
         """Return the other members' durability proofs by member id."""
@@ -125,11 +125,11 @@
                 raise DiskCorruptedError(f"{self._path}: fact {number} cannot be decoded: {error}") from error
         return facts
 
-    def _known_values(self) -> dict[str, KnownValue]:
-        known_values: dict[str, KnownValue] = {}
-        for key, data in self._rows("SELECT name, value, crc FROM known", "known value"):
-            known_values[key] = _decode(data, KnownValue, f"known value {key}")
-        return known_values
+    def _persisted_values(self) -> dict[str, PersistedValue]:
+        persisted_values: dict[str, PersistedValue] = {}
+        for key, data in self._rows("SELECT name, value, crc FROM known", "persisted value"):
+            persisted_values[key] = _decode(data, PersistedValue, f"persisted value {key}")
+        return persisted_values
 
     def _rows(self, query: str, description: str) -> Iterator[tuple[Any, ...]]:
         """Yield the rows of a query without their checksum, which is the last column."""
--- a/limerudder/store/sqlite_writer.py
+++ b/limerudder/store/sqlite_writer.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from limerudder.store.drain_log import NumberedFact, encode_fact
-from limerudder.store.durability import DurabilityJob, KnownValue, SnapshotJob
+from limerudder.store.durability import DurabilityJob, PersistedValue, SnapshotJob
 from limerudder.store.peer_authentication import DurabilityProof
 from limerudder.store.raft.messages import Entry, Snapshot, SnapshotMeta
 from limerudder.store.raft.persistence import HardState, RaftWrite
@@ -56,7 +56,7 @@
             self._write_raft(job.raft_write)
         snapshot = self._write_snapshot_job(job.snapshot) if job.snapshot else None
         self._write_facts(job.new_facts, job.deleted_facts)
-        self._write_known_values(job.known_values)
+        self._write_persisted_values(job.persisted_values)
         self._write_proofs(job.proofs)
         return snapshot
 
@@ -108,9 +108,9 @@
         numbers = [(number,) for number in deleted_facts]
         self._connection.executemany("DELETE FROM facts WHERE number=?", numbers)
 
-    def _write_known_values(self, known_values: Mapping[str, KnownValue]) -> None:
-        for key, known_value in known_values.items():
-            data = _encode(known_value)
+    def _write_persisted_values(self, persisted_values: Mapping[str, PersistedValue]) -> None:
+        for key, persisted_value in persisted_values.items():
+            data = _encode(persisted_value)
             row = (key, data, row_checksum(key, data))
             self._connection.execute("INSERT OR REPLACE INTO known VALUES (?,?,?)", row)
 
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -16,7 +16,7 @@
 from limerudder.store.disk import DATABASE_FILE, Disk
 from limerudder.store.disk_errors import DiskError
 from limerudder.store.drain_log import DrainObserved, MaintenanceHold, NumberedFact
-from limerudder.store.durability import DurabilityJob, KnownValue, SnapshotJob
+from limerudder.store.durability import DurabilityJob, PersistedValue, SnapshotJob
 from limerudder.store.peer_authentication import DurabilityProof, Incarnation
 from limerudder.store.raft.messages import SnapshotMeta, snapshot_digest
 from limerudder.store.raft.persistence import HardState, SnapshotChunk
@@ -112,10 +112,12 @@
             NumberedFact(number, DrainObserved(f"h{random.randrange(3)}", number)),
             NumberedFact(number + 1000, MaintenanceHold("h", "x")),
         )
-        known_values = {f"hosts/{random.randrange(3)}": KnownValue(number, random.choice((None, b"{}")))}
+        persisted_values = {
+            f"hosts/{random.randrange(3)}": PersistedValue(number, random.choice((None, b"{}")))
+        }
         proofs = {random.randrange(3): DurabilityProof(Incarnation(number, 7), 1, number)}
         deleted_facts = (random.randrange(1, number + 1),)
-        return DurabilityJob(number, None, None, facts, deleted_facts, known_values, proofs)
+        return DurabilityJob(number, None, None, facts, deleted_facts, persisted_values, proofs)
 
 
 def assert_same_state(disk: Disk, model: MemoryDisk) -> None:
@@ -128,7 +130,7 @@
     assert durable.raft_state.snapshot == expected.raft_state.snapshot
     assert durable.raft_state.incoming_snapshot == expected.raft_state.incoming_snapshot
     assert durable.drain_facts == expected.drain_facts
-    assert durable.known_values == expected.known_values
+    assert durable.persisted_values == expected.persisted_values
     assert contents.durability_proofs == model.proofs
 
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -44,7 +44,7 @@
 )
 from limerudder.store.data_directory import encode_join_token, join_cluster
 from limerudder.store.disk import DATABASE_FILE, Disk, MemberIdentity
-from limerudder.store.durability import DurabilityJob, KnownValue, SnapshotJob
+from limerudder.store.durability import DurabilityJob, PersistedValue, SnapshotJob
 from limerudder.store.framing import FrameDecoder, encode_frame
 from limerudder.store.peer_authentication import DurabilityProof, Handshake, Incarnation
 from limerudder.store.raft import messages as raft
@@ -201,7 +201,7 @@
     assert contents.incarnation.number == 1
     assert contents.durability_proofs == {6: DurabilityProof(Incarnation(3, 77), 1, 9)}
     assert contents.durable_state.drain_facts == {1: FACTS["drain"], 3: FACTS["back"]}
-    assert contents.durable_state.known_values == {
+    assert contents.durable_state.persisted_values == {
         "hosts/s-1": (2, drain_log.encode_host_record(HOST_RECORD)),
         "config/log": (1, None),
     }
@@ -237,13 +237,13 @@
         state.apply(entry.index, entry.data)
     disk.persist([DurabilityJob(2, None, SnapshotJob(7, 1, CONFIG, state.snapshot_view(200), 5))])
     facts = tuple(drain_log.NumberedFact(number, fact) for number, fact in enumerate(FACTS.values(), 1))
-    known_values = {
-        "hosts/s-1": KnownValue(2, drain_log.encode_host_record(HOST_RECORD)),
-        "config/log": KnownValue(1, None),
+    persisted_values = {
+        "hosts/s-1": PersistedValue(2, drain_log.encode_host_record(HOST_RECORD)),
+        "config/log": PersistedValue(1, None),
     }
     proofs = {6: DurabilityProof(Incarnation(3, 77), 1, 9)}
     write = RaftWrite(3, entries=tuple(entries[8:]))
-    disk.persist([DurabilityJob(3, write, new_facts=facts, known_values=known_values, proofs=proofs)])
+    disk.persist([DurabilityJob(3, write, new_facts=facts, persisted_values=persisted_values, proofs=proofs)])
     chunks = (SnapshotChunk(INCOMING, 0, b"first"), SnapshotChunk(INCOMING, 1, b"second"))
     write = RaftWrite(4, hard_state=HardState(2, 6), snapshot_chunks=chunks)
     disk.persist([DurabilityJob(4, write, deleted_facts=(2,))])
