--- a/harness/simulated_member.py
+++ b/harness/simulated_member.py
@@ -22,7 +22,7 @@
 CLUSTER_ID = 7
 LIMITS = MemberLimits(
     snapshot_after_entries=40,
-    kept_entries=8,
+    retained_entries=8,
     snapshot_chunk_bytes=200,
     max_pending_requests=64,
     max_history_events=100,
--- a/limerudder/store/durability_scheduler.py
+++ b/limerudder/store/durability_scheduler.py
@@ -79,7 +79,7 @@
         """Handles the completion of a job; `snapshot` is the one built for it, if any."""
         if snapshot:
             self._snapshot_in_progress = False
-            self._raft.compact(snapshot, self._limits.kept_entries)
+            self._raft.compact(snapshot, self._limits.retained_entries)
         write_number = self._raft_writes.pop(job_number, None)
         if write_number is not None:
             self._raft.on_write_durable(write_number, now_us)
@@ -126,5 +126,5 @@
             term=term,
             config=log.config_at(applied_index),
             view=self._state.snapshot_view(self._limits.snapshot_chunk_bytes),
-            keep_from_index=max(applied_index - self._limits.kept_entries, log.base_index) + 1,
+            keep_from_index=max(applied_index - self._limits.retained_entries, log.base_index) + 1,
         )
--- a/limerudder/store/limits.py
+++ b/limerudder/store/limits.py
@@ -13,7 +13,7 @@
 
     snapshot_after_entries: int = 20_000  # entries applied since the last snapshot that trigger a new one
     snapshot_after_bytes: int = 16 << 20  # size of the log in memory that triggers a new snapshot
-    kept_entries: int = 1000  # log entries before a snapshot, retained for slightly lagging followers
+    retained_entries: int = 1000  # number of log entries before a snapshot, for slightly lagging followers
     max_pending_requests: int = 4096  # client requests of this member; at the leader, writes of all members
     max_value_bytes: int = 64 << 10
     snapshot_chunk_bytes: int = SNAPSHOT_CHUNK_BYTES
--- a/limerudder/store/raft/raft.py
+++ b/limerudder/store/raft/raft.py
@@ -75,9 +75,9 @@
         if state.is_leader:
             self._leader.advance_commit(now_us)
 
-    def compact(self, snapshot: Snapshot, keep_entries: int) -> None:
-        """Delete the entries that a durable snapshot covers, except the last `keep_entries` (5.1)."""
-        compact_log(self._state, snapshot, keep_entries)
+    def compact(self, snapshot: Snapshot, retained_entries: int) -> None:
+        """Delete the entries that a durable snapshot covers, except the last `retained_entries` (5.1)."""
+        compact_log(self._state, snapshot, retained_entries)
 
     # time
 
--- a/limerudder/store/raft/snapshots.py
+++ b/limerudder/store/raft/snapshots.py
@@ -16,15 +16,15 @@
 from limerudder.store.raft.state import RaftState
 
 
-def compact_log(state: RaftState, snapshot: Snapshot, keep_entries: int) -> None:
-    """Delete the entries that a durable snapshot of this member covers, except the last `keep_entries`."""
+def compact_log(state: RaftState, snapshot: Snapshot, retained_entries: int) -> None:
+    """Delete entries that a durable snapshot of this member covers, except the last `retained_entries`."""
     meta = snapshot.meta
     if meta.index <= state.log.base_index:
         return
     assert meta.index <= state.commit_index, "a snapshot covers only committed entries"
     state.snapshot = snapshot
     # The retained entries allow a slightly lagging member to catch up without a snapshot.
-    compact_up_to = max(meta.index - keep_entries, state.log.base_index)
+    compact_up_to = max(meta.index - retained_entries, state.log.base_index)
     state.log.compact(min(compact_up_to, state.delivered_index))
 
 
--- a/limerudder/store/store.py
+++ b/limerudder/store/store.py
@@ -214,7 +214,7 @@
     return MemberLimits(
         snapshot_after_entries=settings.snapshot_entries,
         snapshot_after_bytes=settings.snapshot_bytes,
-        kept_entries=min(MemberLimits().kept_entries, settings.snapshot_entries),
+        retained_entries=min(MemberLimits().retained_entries, settings.snapshot_entries),
         max_pending_requests=settings.waiting_most,
         max_value_bytes=settings.value_most,
         max_history_events=settings.history,
