--- a/limerudder/core/ports.py
+++ b/limerudder/core/ports.py
@@ -62,7 +62,7 @@
     oldest_unanswered_us: int | None  # time at which the oldest unanswered client message was relayed
     last_received_us: int  # time of the latest bytes from the upstream
 
-    def upstream_silent(self, now_us: int) -> None:
+    def end_unresponsive(self, now_us: int) -> None:
         """End the attempt because its upstream is silent: migrate the client and report the end."""
 
     def close(self) -> None:
--- a/limerudder/core/upstream/attempt.py
+++ b/limerudder/core/upstream/attempt.py
@@ -127,7 +127,7 @@
         self.transport.write(data)
         if self.oldest_unanswered_us is None and b"\n" in data:
             self.oldest_unanswered_us = now_us
-            self._timer.set(now_us + MESSAGE_TIMEOUT_US, self.upstream_silent)
+            self._timer.set(now_us + MESSAGE_TIMEOUT_US, self.end_unresponsive)
 
     def client_ended(self, now_us: int) -> None:
         """The client has ended its side: end this side too. The upstream may still send its last lines."""
@@ -136,7 +136,7 @@
             self.transport.half_close()
             # An answer that is still outstanding must not cancel the timer set here.
             self.oldest_unanswered_us = None
-            self._timer.set(now_us + UPSTREAM_CLOSE_TIMEOUT_US, self.upstream_silent)
+            self._timer.set(now_us + UPSTREAM_CLOSE_TIMEOUT_US, self.end_unresponsive)
 
     def client_reset(self) -> None:
         """The client's connection broke: reset the upstream's."""
@@ -146,7 +146,7 @@
 
     # Called by the node
 
-    def upstream_silent(self, now_us: int) -> None:
+    def end_unresponsive(self, now_us: int) -> None:
         """The upstream is silent: migrate its client. The outcome does not count against its capacity."""
         client = self._client
         self._end(AttemptOutcome.CANCELLED, now_us)
--- a/limerudder/core/upstream/liveness_scanner.py
+++ b/limerudder/core/upstream/liveness_scanner.py
@@ -46,4 +46,4 @@
         step_size = -(-len(attempts) // MIGRATION_STEPS)
         for attempt in attempts[:step_size]:
             self._counters.increment(CounterName.MIGRATIONS)
-            attempt.upstream_silent(now_us)
+            attempt.end_unresponsive(now_us)
