--- a/limerudder/policy/connection_table.py
+++ b/limerudder/policy/connection_table.py
@@ -42,7 +42,7 @@
     def establish(self, connection: Connection, server: Server, now_us: int) -> None:
         """Mark a connection established after its attempt has succeeded."""
         server.pending_attempts -= not connection.established
-        connection.live = True
+        connection.is_migratable = True
         connection.established = True
         connection.established_at_us = now_us
         connection.answered = True
--- a/limerudder/policy/draining.py
+++ b/limerudder/policy/draining.py
@@ -26,11 +26,11 @@
         a load spike at the other servers.
         """
         now_us = self._clock.now_us
-        live = [connection for connection in server.connections.values() if connection.live]
-        if live:
+        migratable = [connection for connection in server.connections.values() if connection.is_migratable]
+        if migratable:
             self._last_drain_at_us = now_us
-        for position, connection in enumerate(live):
-            self._timers.schedule(connection, now_us + MIGRATION_PERIOD_US * position // len(live))
+        for position, connection in enumerate(migratable):
+            self._timers.schedule(connection, now_us + MIGRATION_PERIOD_US * position // len(migratable))
 
     def clients_may_reconnect(self) -> bool:
         """Whether reconnecting clients may come from a draining server."""
--- a/limerudder/policy/load_inference.py
+++ b/limerudder/policy/load_inference.py
@@ -243,7 +243,7 @@
             # An assumed capacity does not limit admission within a tenant's quota: the last level is
             # unbounded. Below it, a group whose clients all connect at once must not overload one server.
             # Migration of an established connection is optional, so the level applies to it unchanged.
-            if connection is None or not connection.live:
+            if connection is None or not connection.is_migratable:
                 is_unbounded = self.has_load_data or level == math.inf
                 level = math.inf if is_unbounded else MAX_ASSUMED_LOAD
             return self.total_load(server, now_us) + added_load <= level * capacity
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -73,9 +73,9 @@
     def on_message_latency(self, inferred_loads: InferredLoads, server: Server, latency_us: float) -> None:
         """Handle a message's latency: migrate the excess load, where loads are inferred."""
         excess_load = inferred_loads.record_message_latency(server, latency_us, self._clock.now_us)
-        live = [c for c in server.connections.values() if c.live] if excess_load > 0 else []
-        live.sort(key=lambda c: self._cost(c, inferred_loads.connection_load(c)), reverse=True)
-        for connection in live:
+        migratable = [c for c in server.connections.values() if c.is_migratable] if excess_load > 0 else []
+        migratable.sort(key=lambda c: self._cost(c, inferred_loads.connection_load(c)), reverse=True)
+        for connection in migratable:
             if excess_load <= 0:
                 break
             load = inferred_loads.connection_load(connection)
@@ -95,7 +95,7 @@
         healthy = [
             self._outliers.is_healthy(connection.server)
             for connection in self._connections.by_id.values()
-            if connection.live and connection.server
+            if connection.is_migratable and connection.server
         ]
         if 2 * sum(healthy) >= len(healthy) - 1:
             self._relieve(server, 1 - PREFERRED_LOAD)
@@ -111,13 +111,13 @@
         loads = [
             connection.load_us_per_second
             for connection in self._connections.by_id.values()
-            if connection.live and connection.load_us_per_second
+            if connection.is_migratable and connection.load_us_per_second
         ]
         mean_load = sum(loads) / max(len(loads), 1)
-        live = [c for c in server.connections.values() if c.live and c.load_us_per_second]
-        live.sort(key=lambda c: self._cost(c, c.load_us_per_second), reverse=True)
-        excess_load = excess_share * sum(c.load_us_per_second for c in live)
-        for connection in live:
+        migratable = [c for c in server.connections.values() if c.is_migratable and c.load_us_per_second]
+        migratable.sort(key=lambda c: self._cost(c, c.load_us_per_second), reverse=True)
+        excess_load = excess_share * sum(c.load_us_per_second for c in migratable)
+        for connection in migratable:
             if self._stops_randomly(excess_load, mean_load):
                 break
             if gossip_active and not self._acquire_gossip_migration():
@@ -144,5 +144,5 @@
         return load / connection.traffic_class.priority_weight / quota_weight
 
     def _migrate(self, connection: Connection) -> None:
-        connection.live = False
+        connection.is_migratable = False
         self._actions.append(MigrateClient(connection.id))
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -52,10 +52,10 @@
         if not registry.returned:
             return
         fullest = max(registry.ready, key=lambda server: server.connection_count)
-        live = [connection for connection in fullest.connections.values() if connection.live]
-        if live and fullest not in registry.returned:
-            connection = self._rng.choice(live)
-            connection.live = False
+        migratable = [connection for connection in fullest.connections.values() if connection.is_migratable]
+        if migratable and fullest not in registry.returned:
+            connection = self._rng.choice(migratable)
+            connection.is_migratable = False
             self._actions.append(MigrateClient(connection.id))
         self._actions.append(SetTimer(now_us + RETURNED_SERVER_INTERVAL_US, TimerToken.RETURNED_SERVER))
 
@@ -114,7 +114,7 @@
         return [
             connection
             for connection in self._connections.by_id.values()
-            if connection.live
+            if connection.is_migratable
             and connection.server
             and connection.server.id in remote_ids
             and self._is_settled(connection)
@@ -139,7 +139,7 @@
         ]
         servers_with_estimate = [server for server in local if self._estimate(server) is not None]
         if self._rng.random() < self._migration_probability(servers_with_estimate, max_load, interval_us):
-            connection.live = False
+            connection.is_migratable = False
             self._actions.append(MigrateClient(connection.id))
         elif not servers_with_estimate:
             polled = [self._poller.poll(server) for server in local[:CHOICES]]
--- a/limerudder/policy/records.py
+++ b/limerudder/policy/records.py
@@ -181,7 +181,7 @@
         self.answered = False  # No further answer is required
         self.established = False  # Remains True until the connection ends
         self.established_at_us = 0
-        self.live = False  # Established and not being migrated
+        self.is_migratable = False  # Established and not being migrated
         self.load_us_per_second = 0.0  # 0 until the first load sample
         #: Server of the pending attempt or the established connection.
         self.server: Server | None = None
--- a/limerudder/policy/request_lifecycle.py
+++ b/limerudder/policy/request_lifecycle.py
@@ -49,7 +49,7 @@
         server = self.registry.get_or_create(event.server_id)
         connection = self._add_connection(event)
         connection.attempts_started = 1
-        connection.live = True
+        connection.is_migratable = True
         connection.established = True
         connection.answered = True
         self.rates.existing_connections += 1
@@ -100,7 +100,7 @@
         if connection is None or connection.answered:
             return
         self.connections.conclude(connection)
-        attempt_is_pending = connection.server is not None and not connection.live
+        attempt_is_pending = connection.server is not None and not connection.is_migratable
         if attempt_is_pending and self.context.settings.allows_cancellation:
             cancel = CancelAttempt(connection.id, connection.attempts_started - 1)
             self.context.actions.append(cancel)
@@ -111,7 +111,7 @@
         if connection is None:
             return
         server = connection.server
-        if connection.live and server and server.state == events.ServerState.DRAINING:
+        if connection.is_migratable and server and server.state == events.ServerState.DRAINING:
             self.context.actions.append(MigrateClient(connection.id))
         elif not connection.answered:
             self.placement.place(connection)
--- a/tests/test_load_inference.py
+++ b/tests/test_load_inference.py
@@ -229,7 +229,7 @@
         event = ExistingConnection(index + 1, 0, 0, 7, 0, 0, 0, 0, 1)
         connection = Connection(event, NO_REPORTS.classes[0], SECOND)
         connection.established = True
-        connection.live = True
+        connection.is_migratable = True
         server.connections[connection.id] = connection
         loads.record_connection_load(connection, MEAN_LOAD)
     return InferredServer(loads, server)
