--- a/limerudder/core/invariants.py
+++ b/limerudder/core/invariants.py
@@ -68,7 +68,7 @@
             connection.attempt is None and (last is None or last.ended),
             "two attempts of a request in progress",
         )
-        require(not connection.has_final_answer, "an attempt after the final answer")
+        require(not connection.is_concluded, "an attempt after the final answer")
         require(
             connection.attempts_started <= self.node.settings.max_attempts,
             "more attempts than the settings allow",
@@ -87,7 +87,7 @@
                 "a request sent to a draining upstream",
             )
             require(
-                not connection.has_final_answer and connection.number in self.node.requests.by_number,
+                not connection.is_concluded and connection.number in self.node.requests.by_number,
                 "a request sent for a disconnected client",
             )
             if upstream is not None:
@@ -114,7 +114,7 @@
 
     def attempt_established(self, connection: ProxiedConnection, now_us: int) -> None:
         """Count the answer of an upstream as the final answer."""
-        if not connection.has_final_answer:
+        if not connection.is_concluded:
             self._count_final_answer(connection)
         self._attempt_established(connection, now_us)
 
@@ -129,7 +129,7 @@
             "an attempt that was sent is reported as never executed",
         )
         upstream = connection.upstream
-        if outcome not in NOT_EXECUTED_OUTCOMES and upstream and not connection.has_final_answer:
+        if outcome not in NOT_EXECUTED_OUTCOMES and upstream and not connection.is_concluded:
             execution = PossibleExecution(connection.attempt_started_us, upstream)
             self.possible_executions.setdefault(connection.number, execution)
         self._attempt_ended(connection, outcome, report, now_us)
@@ -165,7 +165,7 @@
         attempts = Counter[int]()
         for connection in requests.values():
             require(
-                connection.has_final_answer or now_us <= connection.deadline_us + slack_us,
+                connection.is_concluded or now_us <= connection.deadline_us + slack_us,
                 "a request has no final answer in time",
             )
             if connection.attempt and connection.upstream:
--- a/limerudder/core/lifecycle/graceful_shutdown.py
+++ b/limerudder/core/lifecycle/graceful_shutdown.py
@@ -39,7 +39,7 @@
         """Whether an upstream serves the connection."""
 
     @property
-    def has_final_answer(self) -> bool:
+    def is_concluded(self) -> bool:
         """Whether the request has been answered or its client has disconnected."""
 
 
@@ -118,7 +118,7 @@
 
     def _fail_waiting_requests(self, now_us: int) -> None:
         """Answer waiting requests as failed; their deadlines are after the end of this process."""
-        waiting = [request for request in self._requests.values() if not request.has_final_answer]
+        waiting = [request for request in self._requests.values() if not request.is_concluded]
         for request in waiting:
             self._hooks.fail_request(request, now_us)
 
--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -312,7 +312,7 @@
         """Check that every request has a final answer when the process ends."""
         for connection in self.requests.values():
             request_id = connection.request.id
-            self._rule_monitor.check(connection.has_final_answer, Rule.ANSWER_BEFORE_CLOSE, request_id)
+            self._rule_monitor.check(connection.is_concluded, Rule.ANSWER_BEFORE_CLOSE, request_id)
 
     @property
     def shutdown_deadline_us(self) -> int:
--- a/limerudder/core/requests/attempt_runner.py
+++ b/limerudder/core/requests/attempt_runner.py
@@ -67,12 +67,10 @@
         self, connection: ProxiedConnection, attempt_number: int, upstream_number: int, now_us: int
     ) -> None:
         self._counters.increment(CounterName.ATTEMPTS_OBSOLETE)
-        has_final_answer = int(connection.has_final_answer)
+        is_concluded = int(connection.is_concluded)
         outcome = AttemptOutcome.OBSOLETE
         self._dispatch(
-            AttemptEnded(
-                connection.number, attempt_number, upstream_number, outcome, 0, has_final_answer, ()
-            ),
+            AttemptEnded(connection.number, attempt_number, upstream_number, outcome, 0, is_concluded, ()),
             now_us,
         )
 
@@ -212,14 +210,14 @@
         duration_us = min(now_us - connection.attempt_started_us, _MAX_DURATION_US)
         request_id = connection.request.id
         self._traffic_log.attempt_ended(request_id, connection.upstream.name, outcome, duration_us)
-        has_final_answer = int(connection.has_final_answer)
+        is_concluded = int(connection.is_concluded)
         event = AttemptEnded(
             connection.number,
             connection.attempts_started - 1,
             connection.upstream.number,
             outcome,
             duration_us,
-            has_final_answer,
+            is_concluded,
             load_report,
         )
         self._dispatch(event, now_us)
--- a/limerudder/core/requests/final_answers.py
+++ b/limerudder/core/requests/final_answers.py
@@ -63,7 +63,7 @@
     def _check_rules(self, connection: ProxiedConnection, now_us: int) -> None:
         request_id = connection.request.id
         latest_us = connection.deadline_us + MAX_ANSWER_DELAY_US
-        self._rule_monitor.check(not connection.has_final_answer, Rule.ONE_ANSWER, request_id)
+        self._rule_monitor.check(not connection.is_concluded, Rule.ONE_ANSWER, request_id)
         self._rule_monitor.check(now_us <= latest_us, Rule.ANSWER_IN_TIME, request_id)
 
     def count(self, answer: FinalAnswer, class_index: int) -> None:
--- a/limerudder/core/requests/proxied_connection.py
+++ b/limerudder/core/requests/proxied_connection.py
@@ -70,7 +70,7 @@
         return self.state is ConnectionState.ESTABLISHED
 
     @property
-    def has_final_answer(self) -> bool:
+    def is_concluded(self) -> bool:
         """Whether the request has been answered or its client has disconnected."""
         return self.state is not ConnectionState.WAITING
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -237,7 +237,7 @@
             self.testbed.run(50_000)
             self.node_invariants.check(self.testbed.now)
         requests = self.testbed.node.requests.values()
-        waiting = [connection for connection in requests if not connection.has_final_answer]
+        waiting = [connection for connection in requests if not connection.is_concluded]
         assert not waiting, "a request has no answer at the end"
         for number, (_, transport) in enumerate(self.clients):
             if number not in self.disconnected and not transport.closed:
