--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -265,7 +265,7 @@
 
     def is_ready_to_serve(self) -> bool:
         """Return whether discovery has sent its list and no health check is pending."""
-        return self.discovery.has_endpoint_list and not self.health_checker.has_pending()
+        return self.discovery.has_endpoint_list and not self.health_checker.has_pending_checks()
 
     def recent_request_ids(self) -> list[int]:
         """Return the ids of requests that are open in this process or were so recently."""
--- a/limerudder/core/upstream/health_checker.py
+++ b/limerudder/core/upstream/health_checker.py
@@ -118,7 +118,7 @@
             if upstream.state != ServerState.READY:
                 self._close(upstream)
 
-    def has_pending(self) -> bool:
+    def has_pending_checks(self) -> bool:
         """Return whether a health check is pending on any connection."""
         connections = (upstream.health_check for upstream in self._connected)
         return any(connection and connection.pending_since_us for connection in connections)
