--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -31,7 +31,7 @@
 TAKEOVER_STEP_US = SECOND // 10
 MIN_ROUND_INTERVAL_US = SECOND
 MAX_ROUND_INTERVAL_US = 8 * SECOND  #: With a longer interval, reports would not show the current load
-REPORT_WAIT_US = SECOND // 20  #: Time that the servers have to answer within a round
+ROUND_REPORT_WAIT_US = SECOND // 20  #: Time that the servers have to answer within a round
 IDLE_CHECK_INTERVAL_US = 4 * SECOND  #: Time until the next check while shared reports are not needed
 MEAN_RATE_ROUNDS = 8  #: Number of rounds that the mean rates are computed over
 
@@ -206,7 +206,7 @@
     def run_round(
         self, ready: Sequence[Server], rates: ConnectionRates, needs_reports: bool, now_us: int
     ) -> RoundStep:
-        """Poll the servers when it is this node's turn; send the reports to all peers `REPORT_WAIT_US` later.
+        """Poll the servers on this node's turn; send the reports to all peers `ROUND_REPORT_WAIT_US` later.
 
         In a tier of dozens of nodes, each node has too few requests to cover the cost of the reports that it
         needs, and all nodes together would pay for the same reports many times.
@@ -224,7 +224,7 @@
         if now_us >= turn_us:
             self._own_round_started_at_us = now_us
             checks: list[Action] = [CheckHealth(server.id) for server in own_segment(ready, self._node_index)]
-            return RoundStep(checks, now_us + REPORT_WAIT_US)
+            return RoundStep(checks, now_us + ROUND_REPORT_WAIT_US)
         return RoundStep([], turn_us)
 
     def _send_reports(self, ready: Sequence[Server], rates: ConnectionRates, now_us: int) -> RoundStep:
