--- a/limerudder/node_process.py
+++ b/limerudder/node_process.py
@@ -22,7 +22,7 @@
 from limerudder.core.operations.log_events import LogKind, LogSink
 from limerudder.core.operations.maintenance import InMemoryMarks, MaintenanceMarks
 from limerudder.net.clock import Clock
-from limerudder.net.error_reports import ErrorReporter
+from limerudder.net.error_reporter import ErrorReporter
 from limerudder.net.listener import ClientListener, bind_socket, start_accepting
 from limerudder.net.mark_files import MarkFiles
 from limerudder.net.node_network import NodeNetwork
