--- a/bench/slow_start_soak.py
+++ b/bench/slow_start_soak.py
@@ -11,7 +11,7 @@
 import argparse
 from concurrent.futures import ProcessPoolExecutor
 
-from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_fault_case
+from harness.slow_start_cases import FAULTS_BY_NAME, FaultCase, Outcome, run_fault_case
 from harness.slow_start_setup import SETUPS
 
 
--- a/harness/slow_start_faults.py
+++ b/harness/slow_start_faults.py
@@ -57,7 +57,7 @@
     fleet.run(SETTLING_SECONDS)
 
 
-def clocks_apart_by_seconds(fleet: SlowStartFleet) -> None:
+def clocks_wrong_by_seconds(fleet: SlowStartFleet) -> None:
     """A quarter of the servers restart, and all nodes with clock errors of up to ten seconds."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     for node in range(len(fleet.nodes)):
@@ -105,7 +105,7 @@
     fast_replacement,
     clocks_ahead,
     clocks_behind,
-    clocks_apart_by_seconds,
+    clocks_wrong_by_seconds,
     load_spike_after_low_traffic,
     most_nodes_restart,
     nodes_restart_repeatedly,
--- a/tests/test_slow_start_faults.py
+++ b/tests/test_slow_start_faults.py
@@ -8,23 +8,23 @@
 
 import pytest
 
-from harness.slow_start_plays import FAULTS_BY_NAME, FaultCase, Outcome, run_fault_case
+from harness.slow_start_cases import FAULTS_BY_NAME, FaultCase, Outcome, run_fault_case
 from harness.slow_start_setup import SETUPS
 
-PLAYS = [FaultCase(setup, fault, seed=1) for setup in SETUPS for fault in FAULTS_BY_NAME]
+CASES = [FaultCase(setup, fault, seed=1) for setup in SETUPS for fault in FAULTS_BY_NAME]
 
 
 @pytest.fixture(scope="module")
 def outcomes() -> Iterator[dict[FaultCase, Future[Outcome]]]:
     """The outcomes of all simulations, which run in parallel."""
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield {play: pool.submit(run_fault_case, play) for play in PLAYS}
+        yield {case: pool.submit(run_fault_case, case) for case in CASES}
 
 
-@pytest.mark.parametrize("play", PLAYS, ids=lambda play: f"{play.setup}-{play.fault}")
+@pytest.mark.parametrize("case", CASES, ids=lambda case: f"{case.setup}-{case.fault}")
 def test_servers_in_slow_start_are_not_overloaded_during_faults(
-    outcomes: dict[FaultCase, Future[Outcome]], play: FaultCase
+    outcomes: dict[FaultCase, Future[Outcome]], case: FaultCase
 ) -> None:
     """Guards against issue 33: more than N + 2 * sqrt(N) + 2 requests in a window (N < 30: 3, 3)."""
-    outcome = outcomes[play].result()
+    outcome = outcomes[case].result()
     assert outcome.excess.worst <= 1, outcome
