--- a/harness/slow_start_faults.py
+++ b/harness/slow_start_faults.py
@@ -91,7 +91,7 @@
 
 
 def nodes_restart_repeatedly(fleet: SlowStartFleet) -> None:
-    """A third of the servers restart; meanwhile each node restarts every two seconds, an eighth at a time."""
+    """A third of the servers restart; then each node restarts every two seconds, an eighth at a time."""
     fleet.restart_servers(list(fleet.ready_since)[::3])
     node_count = len(fleet.nodes)
     for _ in range(6):
--- a/limerudder/core/client/session.py
+++ b/limerudder/core/client/session.py
@@ -72,7 +72,7 @@
         if self.attempt and self.attempt.transport:
             self.attempt.transport.set_reading_paused(paused)
         elif self.transport and self._state in (ClientState.READING_LINE, ClientState.AWAITING_ANSWER):
-            # Disconnects are detected only while reading, so reading goes on while an answer is awaited.
+            # Disconnects are detected only while reading, so reading continues until the answer.
             self.transport.set_reading_paused(paused and self._state is ClientState.READING_LINE)
 
     # called by the node
--- a/limerudder/loadtest/simulated_client.py
+++ b/limerudder/loadtest/simulated_client.py
@@ -93,7 +93,7 @@
             self._end(CONNECTION_REFUSED)
             return
         try:
-            self._socket.send(self._line)  # the send buffer of a new connection holds the whole line
+            self._socket.send(self._line)  # the whole line fits into the send buffer of a new connection
         except OSError:
             self._end(CONNECTION_RESET)
             return
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -26,7 +26,7 @@
 from limerudder.policy.sweep_segments import own_segment, segment_count
 
 MAX_COST_SHARE = 0.02  #: Maximum share of the result that shared reports may cost
-MAX_NODES_WITHOUT_GOSSIP = 6  #: Tier size up to which each node sees enough of every server by itself
+MAX_NODES_WITHOUT_GOSSIP = 6  #: Tier size up to which a node's own requests yield enough data on every server
 #: Delay between the take-overs of successive nodes; covers a round of health checks and a late datagram.
 TAKEOVER_STEP_US = SECOND // 10
 MIN_ROUND_INTERVAL_US = SECOND
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -79,7 +79,7 @@
             if excess_load <= 0:
                 break
             load = inferred_loads.connection_load(connection)
-            # A connection that needs half a server by itself is always migrated: otherwise all the others
+            # A connection that alone needs half a server is always migrated: otherwise all the others
             # would be migrated instead.
             if inferred_loads.is_costly(connection) or self._rng.random() * load < excess_load:
                 excess_load -= load
--- a/limerudder/policy/slow_start.py
+++ b/limerudder/policy/slow_start.py
@@ -9,7 +9,7 @@
   two slots at most. Any two adjacent slots contain 3 requests, which is within the bound for every N. If
   servers report the number of connections that fills them, which all nodes receive alike, there are more base
   turns: a server accepts at least that number during its warm-up, and N follows from it. The turns for a
-  smaller number are a subset of those for a larger one, so nodes that know different numbers together stay
+  smaller number are a subset of those for a larger one, so nodes with different numbers together stay
   within the turns for the largest.
 - Share turns are this node's share of N, based on the rate measured before the disturbance (see
   capacity_reference). The estimates of the nodes differ, so their sum in one window varies by chance;
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -114,7 +114,7 @@
         assert (transport.reading_paused, attempt.reading_paused) == (paused, paused)
 
 
-def test_a_dial_to_an_upstream_that_begins_to_drain_is_given_up(tmp_path: Path) -> None:
+def test_a_dial_to_an_upstream_that_begins_to_drain_is_cancelled(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     testbed.send_request()
     (attempt,) = testbed.attempts()
