--- a/limerudder/core/node.py
+++ b/limerudder/core/node.py
@@ -8,8 +8,8 @@
 
 from limerudder.core.client.admission import AdmissionControl
 from limerudder.core.discovery.discovery_client import DiscoveryClient
-from limerudder.core.discovery.drain_memory import DrainMemory
 from limerudder.core.discovery.endpoint_list import EndpointList
+from limerudder.core.discovery.recorded_drains import RecordedDrains
 from limerudder.core.lifecycle.graceful_shutdown import (
     GracefulShutdown,
     ShutdownHooks,
@@ -72,7 +72,7 @@
         log: LogSink,
         now_us: int,
         marks: MaintenanceMarks | None = None,
-        drain_memory: DrainMemory | None = None,
+        recorded_drains: RecordedDrains | None = None,
     ) -> None:
         self.config = config
         self.settings = config.settings
@@ -103,7 +103,7 @@
         self.peering = Peering(self.balancer, services)
         self.upstreams = UpstreamRegistry()
         self._build_request_parts(services)
-        self._build_upstream_parts(services, drain_memory)
+        self._build_upstream_parts(services, recorded_drains)
         self.maintenance = Maintenance(marks or InMemoryMarks(), self._maintenance_effects, self.timer_wheel)
         self._resource_sharing = ResourceSharing(self.requests, self.upstreams, self.admission, services)
         is_pushed = self.settings.discovery == "pushed"
@@ -131,7 +131,7 @@
         )
         self.on_request_accepted = self.lifecycle.on_request_accepted
 
-    def _build_upstream_parts(self, services: NodeServices, drain_memory: DrainMemory | None) -> None:
+    def _build_upstream_parts(self, services: NodeServices, recorded_drains: RecordedDrains | None) -> None:
         self.health_checker = HealthChecker(
             self.upstreams, self.report_fields, lambda: self.admission.max_health_checks, services
         )
@@ -143,7 +143,7 @@
             self.health_checker,
             self.admission,
             lambda name: name in self.maintenance.hosts,
-            drain_memory,
+            recorded_drains,
             services,
         )
         self._maintenance_effects = MaintenanceEffects(self.upstreams, self._refresh_endpoint, services)
@@ -231,13 +231,13 @@
         self.endpoint_updater.refresh(name, self.discovery.version, kind, now_us)
 
     @property
-    def drain_memory(self) -> DrainMemory | None:
+    def recorded_drains(self) -> RecordedDrains | None:
         """The record of drains that outlasts discovery's list; None if there is none."""
-        return self.endpoint_updater.drain_memory
+        return self.endpoint_updater.recorded_drains
 
-    @drain_memory.setter
-    def drain_memory(self, drain_memory: DrainMemory | None) -> None:
-        self.endpoint_updater.drain_memory = drain_memory
+    @recorded_drains.setter
+    def recorded_drains(self, recorded_drains: RecordedDrains | None) -> None:
+        self.endpoint_updater.recorded_drains = recorded_drains
 
     # requests
 
@@ -265,7 +265,7 @@
 
     def is_ready_to_serve(self) -> bool:
         """Return whether discovery has sent its list and no health check is pending."""
-        return self.discovery.has_endpoint_list and not self.health_checker.has_pending()
+        return self.discovery.has_endpoint_list and not self.health_checker.has_pending_checks()
 
     def recent_request_ids(self) -> list[int]:
         """Return the ids of requests that are open in this process or were so recently."""
@@ -279,11 +279,11 @@
         """Return this process's usage of the resources that the node's processes share."""
         return self._resource_sharing.usage()
 
-    def release_turns(self) -> None:
+    def stop_using_turns(self) -> None:
         """Stop sending to upstreams in slow start; another process uses this node's turns."""
         self.timer_wheel.schedule(0, partial(self._set_turn_ownership, False))
 
-    def acquire_turns(self, delay_us: int = 0) -> None:
+    def start_using_turns(self, delay_us: int = 0) -> None:
         """Use this node's turns at upstreams in slow start after a delay; by then no other process does."""
 
         def schedule(now_us: int) -> None:
@@ -312,7 +312,7 @@
         """Check that every request has a final answer when the process ends."""
         for connection in self.requests.values():
             request_id = connection.request.id
-            self._rule_monitor.check(connection.has_final_answer, Rule.ANSWER_BEFORE_CLOSE, request_id)
+            self._rule_monitor.check(connection.is_concluded, Rule.ANSWER_BEFORE_CLOSE, request_id)
 
     @property
     def shutdown_deadline_us(self) -> int:
@@ -327,7 +327,7 @@
         """Reject new requests and migrate clients in steps, finishing before the earliest SIGKILL."""
         if self.shutdown_deadline_us:
             return
-        self.release_turns()  # the process that replaces this one may already be running
+        self.stop_using_turns()  # the process that replaces this one may already be running
         longest_deadline_us = max(traffic_class.deadline_us for traffic_class in self.settings.classes)
         self.shutdown_deadline_us = earliest_kill_time_us(longest_deadline_us, now_us)
         hooks = ShutdownHooks(
