--- a/limerudder/cli.py
+++ b/limerudder/cli.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from limerudder.schema import OperatorFile
 
-#: Starts the examples at the end of a help text; click does not rewrap this paragraph.
+#: Start of the examples at the end of a help text; click does not rewrap a paragraph that begins with \b.
 EXAMPLES = "\b\nExamples:\n"
 SHORT_HELP_CHARACTERS = 80
 
--- a/limerudder/core/discovery/recorded_drains.py
+++ b/limerudder/core/discovery/recorded_drains.py
@@ -11,10 +11,10 @@
 
 
 class RecordedDrains(Protocol):
-    """Records which start of each upstream is draining. Once drained, a start never serves again."""
+    """Records which start of each upstream is draining; once drained, it serves only after a new start."""
 
     def observe(self, endpoint: Endpoint) -> bool:
-        """Record the endpoint's drain if one is listed; return whether this start gets no new attempts."""
+        """Record the endpoint's drain if one is listed; return whether it must get no new attempts."""
 
     def drained_starts(self) -> dict[str, int]:
         """Return the last draining start of each upstream, by name, in ms since 1970."""
@@ -24,11 +24,11 @@
     """Drains recorded by the parent process, used until this process can read the store itself."""
 
     def __init__(self, drained_starts: dict[str, int]) -> None:
-        self.unreported_drains: dict[str, int] = {}  # Drains that the parent process has not reported
+        self.unreported_drains: dict[str, int] = {}  # Drains observed here that the parent has not reported
         self._drained_starts = dict(drained_starts)
 
     def observe(self, endpoint: Endpoint) -> bool:
-        """Record the endpoint's drain if one is listed; return whether this start gets no new attempts."""
+        """Record the endpoint's drain if one is listed; return whether it must get no new attempts."""
         last_drained_ms = self._drained_starts.get(endpoint.name, NEVER_STARTED_MS)
         if endpoint.state == ServerState.DRAINING and last_drained_ms < endpoint.started_ms:
             self._drained_starts[endpoint.name] = endpoint.started_ms
--- a/limerudder/core/lifecycle/hot_restart/parent.py
+++ b/limerudder/core/lifecycle/hot_restart/parent.py
@@ -90,7 +90,7 @@
     def successor_lost(self, connection: SuccessorConnection) -> None:
         """Remove a process that has ended; accept clients again if it was serving.
 
-        A node that is stopping then continues as one without a successor.
+        If this node is stopping, its shutdown continues as if there had been no successor.
         """
         if connection in self.connections:
             self.connections.remove(connection)
--- a/limerudder/core/ports.py
+++ b/limerudder/core/ports.py
@@ -47,7 +47,7 @@
         """Send the final answer: failed."""
 
     def migrate(self, now_us: int) -> None:
-        """Request the client of an established connection to reconnect, and close this connection."""
+        """Make the client of an established connection reconnect, and close this connection."""
 
     def check_disconnected(self, now_us: int) -> None:
         """Report a disconnect of the client at once, even if bytes before it are still unread."""
--- a/limerudder/core/upstream/attempt.py
+++ b/limerudder/core/upstream/attempt.py
@@ -147,7 +147,7 @@
     # Called by the node
 
     def end_unresponsive(self, now_us: int) -> None:
-        """The upstream is silent: migrate its client. The outcome does not count against its capacity."""
+        """The upstream is silent: migrate its client. The outcome does not count as a lack of capacity."""
         client = self._client
         self._end(AttemptOutcome.CANCELLED, now_us)
         if client and self._client_has_ended:
--- a/limerudder/core/upstream/endpoint_updater.py
+++ b/limerudder/core/upstream/endpoint_updater.py
@@ -80,7 +80,7 @@
     ) -> None:
         """Notify the policy first of upstreams that are listed as ready again after maintenance.
 
-        They are reported like an operator's call; discovery's own entry, which follows, then changes nothing.
+        They are reported as operator updates; discovery's own entry, which follows, then changes nothing.
         """
         by_number = self._upstreams.by_number
         returned = [
--- a/limerudder/core/upstream/maintenance_effects.py
+++ b/limerudder/core/upstream/maintenance_effects.py
@@ -13,7 +13,8 @@
 
 _RETURN_TIMEOUT_US = 5_000_000  #: Maximum time until an upstream returned to service is in use again
 
-EndpointRefresher = Callable[[str, UpdateKind, int], None]  #: Arguments: name, kind of update, time (us)
+#: Applies an upstream's last entry again; arguments: name, kind of update, time in microseconds.
+EndpointRefresher = Callable[[str, UpdateKind, int], None]
 
 
 class MaintenanceEffects:
--- a/limerudder/net/log.py
+++ b/limerudder/net/log.py
@@ -47,7 +47,7 @@
         self.windows_by_kind: dict[Hashable, LogWindow] = {}
 
     def __call__(self, logger: Any, method: str, event: EventDict) -> EventDict | None:
-        """Return the event, or None to drop it; a structlog processor except for the None."""
+        """Return the event, or None to drop it, where a structlog processor would raise DropEvent."""
         key = event.pop("kind")
         if key not in self.windows and len(self.windows) >= MAX_WINDOWS:
             del self.windows[next(iter(self.windows))]  # the oldest one; its count of dropped events is lost
--- a/limerudder/net/shortage.py
+++ b/limerudder/net/shortage.py
@@ -23,7 +23,8 @@
     }
 )
 START_RETRY_SECONDS = 20.0  #: Time for which a start is retried; nodes have 30 s to become ready
-#: A killed process may briefly keep its addresses bound; after this time another process owns them.
+#: Time for which a start is retried while an address is in use. A killed process may keep its addresses bound
+#: briefly; after this time, another process owns them.
 ADDRESS_RETRY_SECONDS = 3.0
 
 
--- a/limerudder/node_main.py
+++ b/limerudder/node_main.py
@@ -22,7 +22,7 @@
 from limerudder.startup_signals import StartupSignals
 
 START_RETRY_INTERVAL_SECONDS = 0.05
-MIN_SOCKETS = 32  #: A process uses about 20 itself; the rest are for clients, upstreams and discovery
+MIN_SOCKETS = 32  #: Minimum usable limit; a process uses about 20 itself, clients and upstreams the rest
 
 
 class NodeMain:
--- a/limerudder/policy/balancer.py
+++ b/limerudder/policy/balancer.py
@@ -223,7 +223,7 @@
             return
         self.registry.apply(event, self._on_server_state_change)
         if event.kind == events.UpdateKind.OPERATOR:
-            return  # this is no answer of discovery, so its next poll must not be delayed
+            return  # not an answer from discovery, so it must not delay the next poll
         if self._started:
             self._discovery.on_update()
         else:
--- a/limerudder/policy/capacity_reference.py
+++ b/limerudder/policy/capacity_reference.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self._rate = RateEstimator(RATE_WINDOW_US)  # rate of connections that servers accepted
         self._started_at_us: int | None = None  # start of this process, if it inherited connections
-        self._ready_version = 0  # version of the set of ready servers; 0 before the first one is ready
+        self._ready_version = 0  # version of the set of ready servers; 0 before the first server is ready
         self._weight = 0.0
         self._disturbed_until_us = 0
         self._undisturbed_rate = 0.0  # rate per weight before the disturbance
@@ -28,8 +28,8 @@
     def measure_from(self, started_at_us: int) -> None:
         """Measure the rate from the start of this process, whose traffic began with inherited connections.
 
-        Any other process is treated as having had no traffic before it started. Otherwise the first second of
-        processes that start during a wave of clients would count as their usual rate.
+        Without this call, the process counts as having had no traffic before it started. Otherwise the rate
+        of the first second would count as usual in processes that start during a wave of clients.
         """
         self._started_at_us = started_at_us
 
--- a/limerudder/policy/context.py
+++ b/limerudder/policy/context.py
@@ -22,7 +22,7 @@
 
 
 class PolicyContext(NamedTuple):
-    """Shared by the components of one Balancer; `actions` belong to the event that is being handled."""
+    """State shared by the components of one Balancer; `actions` belong to the event that is being handled."""
 
     settings: Settings
     rng: Random
--- a/limerudder/policy/discovery_timing.py
+++ b/limerudder/policy/discovery_timing.py
@@ -1,8 +1,8 @@
 """Deadlines and back-off of calls to the discovery service. Performs no I/O.
 
-Operators count a node as notified of a change `NOTIFY_DEADLINE_US` after discovery had it and was reachable,
-regardless of the outcome of earlier calls. So the worst-case time until an answer has to be shorter: a dead
-call is cancelled, the node waits, and the next call is answered:
+Operators rely on a node receiving a change within `NOTIFY_DEADLINE_US` after discovery has the change and is
+reachable, regardless of the outcome of earlier calls. So the worst case has to be shorter: a dead call is
+cancelled, the node waits, and the next call is answered:
 
     CALL_TIMEOUT_US + CHECK_INTERVAL_US + MAX_BACKOFF_US + FIRST_BYTE_TIMEOUT_US < NOTIFY_DEADLINE_US
 
--- a/limerudder/policy/draining.py
+++ b/limerudder/policy/draining.py
@@ -7,7 +7,7 @@
 from limerudder.policy.timers import ConnectionTimers
 
 MIGRATION_PERIOD_US = SECOND  #: Time over which the connections of a draining server are migrated
-#: Time after the start of a drain in which reconnecting clients may come from the draining server.
+#: Time after the start of a drain during which reconnecting clients may come from the draining server.
 RECONNECT_PERIOD_US = 3 * SECOND
 
 
@@ -22,7 +22,7 @@
     def start(self, server: Server) -> None:
         """Migrate all connections of a server that has started to drain.
 
-        Connections that remain when it stops are cut off; but migrated all at once, the clients would cause
+        Connections that remain when the server stops are cut off. Migrating all of them at once would cause
         a load spike at the other servers.
         """
         now_us = self._clock.now_us
--- a/limerudder/policy/gossip.py
+++ b/limerudder/policy/gossip.py
@@ -25,7 +25,7 @@
 from limerudder.policy.settings import Settings
 from limerudder.policy.sweep_segments import own_segment, segment_count
 
-MAX_COST_SHARE = 0.02  #: Maximum share of the result that shared reports may cost
+MAX_COST_SHARE = 0.02  #: Maximum cost of shared reports as a share of the value of the tier's requests
 MAX_NODES_WITHOUT_GOSSIP = 6  #: Tier size up to which a node's own requests yield enough data on every server
 #: Delay between the take-overs of successive nodes; covers a round of health checks and a late datagram.
 TAKEOVER_STEP_US = SECOND // 10
--- a/limerudder/policy/load_inference.py
+++ b/limerudder/policy/load_inference.py
@@ -80,7 +80,7 @@
         self._load_samples = 0
         self._costly_keys = dict[int, float]()  # Load by client key, most recent last
         quotas = [quota for quota in settings.tenant_quotas if 0 < quota < math.inf]
-        # Capacity of the fleet in connections of the mean load
+        # Number of connections of the mean load that the fleet has capacity for, by the quotas
         self._fleet_connections = sum(quotas) / QUOTA_SHARE_OF_CAPACITY
         self._fleet_weight = 0.0  # Size of the fleet on which the tenants' quotas are based
         self._ready_servers: Sequence[Server] = ()
@@ -136,7 +136,8 @@
         own_load = self.own_load(server)
         server.latency_sample = (latency_us, now_us)
         is_slow = latency_us > self._min_objective_us
-        # A backlog cannot be negative, so a latency that falls below the objective does not show the load.
+        # A backlog ends at zero, so the slope of a latency that has fallen below the objective does not show
+        # the load.
         has_slope = elapsed_us <= MAX_SLOPE_INTERVAL_US and (is_slow or latency_us > previous_latency_us)
         if not has_slope:
             server.load_at_latency_sample = own_load
@@ -152,7 +153,7 @@
     def _record_relative_load(
         self, server: Server, relative_load: float, own_load: float, now_us: int
     ) -> None:
-        """Derive the server's minimum capacity and the other nodes' load from its relative load."""
+        """Derive the server's minimum capacity and the other nodes' load from its load per capacity."""
         mean_own_load = (own_load + server.load_at_latency_sample) / 2
         server.min_capacity = max(server.min_capacity, mean_own_load / relative_load)
         others_load = max(self.capacity(server, now_us) * relative_load - mean_own_load, 0.0)
--- a/limerudder/policy/load_polling.py
+++ b/limerudder/policy/load_polling.py
@@ -18,7 +18,8 @@
 from limerudder.policy.timers import TimerToken
 from limerudder.policy.traffic_rates import TrafficRates
 
-#: Maximum share of the result spent on health checks; the reports must be worth more than that.
+#: Maximum cost of health checks as a share of the value of the requests; the reports must be worth more
+#: than they cost.
 MAX_HEALTH_CHECK_COST_SHARE = 0.01
 MIN_HEALTH_CHECK_PRICE = 1e-5  #: Lower bound that keeps the budget finite where health checks are free
 MIN_SWEEP_INTERVAL_US = SECOND // 2  #: Minimum time between sweeps; reports are rarely renewed faster
--- a/limerudder/policy/outlier_detection.py
+++ b/limerudder/policy/outlier_detection.py
@@ -75,8 +75,8 @@
         connection_was_reset = outcome == AttemptOutcome.RESET and connection.answered
         if self.inferred_loads and connection_was_reset:
             self.inferred_loads.record_reset(server, self.context.clock.now_us)
-        # A server that is full without any connection of this node gets no limit: having none of our
-        # connections, it would be chosen by every further selection.
+        # A server that is full without any connection of this node is ejected instead of limited: having
+        # none of our connections, it would be chosen by every further selection.
         if server.connection_count and (outcome == AttemptOutcome.FULL or connection_was_reset):
             self._limit_connections(server)
         elif not self._is_shared_fault(outcome):
--- a/limerudder/policy/overload_relief.py
+++ b/limerudder/policy/overload_relief.py
@@ -18,7 +18,8 @@
 from limerudder.policy.traffic_rates import TrafficRates
 
 MAX_LOAD_BEFORE_RELIEF = 0.9  #: Relief threshold; beyond its capacity a server answers nothing in time
-#: Minimum time between reliefs: the maximum age of a report, as older ones may not show the last migrations.
+#: Minimum time between two reliefs of a server, equal to the maximum age of a report: a report that arrives
+#: earlier may not show the migrations of the last relief.
 RELIEF_INTERVAL_US = 3 * SECOND // 2
 MIN_OVER_QUOTA_WEIGHT = 0.01
 GOSSIP_MIGRATION_BURST = 2.0  #: Number of migrations allowed at once while all nodes migrate
@@ -53,9 +54,9 @@
     def on_report(self, server: Server, load: float, load_with_backlog: float) -> None:
         """Handle a load report: migrate connections if the server is overloaded.
 
-        With gossip all nodes receive the same report, and their migrations add up. A backlog is not a share
-        of the current connections, and all nodes would migrate for it again before reports show the first
-        migrations: so the backlog is ignored then, and the time until the next relief is longer.
+        With gossip all nodes receive the same report, and their migrations add up. So the backlog is ignored
+        then, and the time until the next relief is longer: the backlog is not load of the current
+        connections, and all nodes would migrate for it again before reports show the first migrations.
         """
         now_us = self._clock.now_us
         gossip_active = self._gossip.is_active(now_us)
@@ -79,8 +80,8 @@
             if excess_load <= 0:
                 break
             load = inferred_loads.connection_load(connection)
-            # A connection that alone needs half a server is always migrated: otherwise all the others
-            # would be migrated instead.
+            # A connection that needs half of a server's capacity is always migrated: if it were spared, all
+            # the others would be migrated instead.
             if inferred_loads.is_costly(connection) or self._rng.random() * load < excess_load:
                 excess_load -= load
                 self._migrate(connection)
@@ -103,9 +104,9 @@
     def _relieve(self, server: Server, excess_share: float, gossip_active: bool = False) -> None:
         """Migrate the costliest connections, up to this share of the load that this node adds to the server.
 
-        Beyond its capacity a server answers nothing in time, and its connections stay for minutes. A report
-        may be seconds old: alone it justifies a migration only where the overload is certain, and no second
-        one soon after.
+        Beyond its capacity a server answers nothing in time, and its connections last for minutes. A report
+        may be seconds old: by itself it justifies migrations only where the overload is certain, and no
+        further ones soon after.
         """
         server.relieved_at_us = self._clock.now_us
         loads = [
@@ -126,9 +127,10 @@
             self._migrate(connection)
 
     def _stops_randomly(self, excess_load: float, mean_load: float) -> bool:
-        """Return whether to stop migrating: drawn at random, likelier the smaller the remaining excess.
+        """Return at random whether to stop migrating; the smaller the remaining excess, the more likely.
 
-        If each of hundreds of nodes rounded up, all would migrate all their connections at once.
+        If hundreds of nodes each rounded the excess up to a whole connection, they would migrate all their
+        connections at once.
         """
         probability = max(excess_load / mean_load, (excess_load > 0) / self._node_count)
         return self._rng.random() > probability
--- a/limerudder/policy/rebalancing.py
+++ b/limerudder/policy/rebalancing.py
@@ -18,8 +18,8 @@
 from limerudder.policy.timers import TimerToken
 from limerudder.policy.traffic_rates import TrafficRates
 
-#: Minimum ratio of the price of a cross-zone connection to that of a migration: the gap in a client's
-#: connection costs too.
+#: Minimum ratio of the price of a cross-zone connection to that of a migration; more than 1, because a
+#: migration also interrupts the client's connection.
 MIN_CROSS_ZONE_TO_MIGRATION_PRICE_RATIO = 3
 SETTLED_AFTER_US = 5 * SECOND  #: Age at which a reconnected client may be migrated to the local zone
 MIN_MIGRATION_INTERVAL_US = SECOND // 2
@@ -38,9 +38,10 @@
         self._registry = registry
 
     def migrate(self) -> None:
-        """Migrate a connection from the server with the most, while a returned server is not used yet.
+        """Migrate a connection from the server with the most connections, while a returned server is unused.
 
-        Connections last for minutes: where few are new, a returned server would stay idle beside full ones.
+        Connections last for minutes: if few new ones arrive, a returned server would stay idle beside full
+        ones.
         """
         now_us = self._clock.now_us
         registry = self._registry
@@ -102,10 +103,10 @@
         self._actions.append(SetTimer(due_at_us, TimerToken.LOCAL_ZONE_MIGRATION))
 
     def _migratable_connections(self) -> list[Connection]:
-        """Return the connections in other zones.
+        """Return the connections to servers in other zones that may be migrated.
 
-        Returns none while attempts fail everywhere, or without load data: filled by a guess, the servers of
-        a zone may be overloaded without ever being detected.
+        Returns none while attempts fail everywhere. Without load data it returns none either: the servers of
+        the local zone could be overloaded without the overload ever being detected.
         """
         if self._pacer.interval_us or not self._loads.has_load_data:
             return []
@@ -121,7 +122,10 @@
         ]
 
     def _is_settled(self, connection: Connection) -> bool:
-        """Whether to migrate a client: one reconnected for lack of capacity would move back and forth."""
+        """Whether a client may be migrated.
+
+        A client that has just reconnected for lack of local capacity would move back and forth.
+        """
         settled_at_us = connection.established_at_us + SETTLED_AFTER_US
         return not connection.is_reconnect or self._clock.now_us >= settled_at_us
 
@@ -159,14 +163,14 @@
     def _max_load(self, connection: Connection) -> float:
         """Return the load up to which local servers are filled.
 
-        This is the higher of the fleet's load and that of the connection's server: filled beyond it, the
-        servers of a zone with many clients have no capacity for a load spike.
+        This is the higher of the fleet's load and that of the connection's server. Filled further, servers of
+        a zone with many clients would have no capacity left for a load spike.
         """
         current_load = self._estimate(connection.server) if connection.server else None
         return min(PREFERRED_LOAD, max(self._loads.mean_reported_load, current_load or 0))
 
     def _migration_probability(self, servers: list[Server], max_load: float, interval_us: int) -> float:
-        """Return the probability of a migration, by this node's share of these servers' spare capacity.
+        """Return the probability of a migration, from this node's share of these servers' spare capacity.
 
         Until reports show the migrations of the other nodes, each node would fill the same capacity.
         """
--- a/limerudder/policy/reported_loads.py
+++ b/limerudder/policy/reported_loads.py
@@ -152,7 +152,7 @@
         self.load_per_connection = min(load / (counted_connections + len(servers)), MAX_LOAD - PREFERRED_LOAD)
 
     def _update_connections_per_weight(self, servers: Sequence[Server], now_us: int) -> None:
-        """Update connections per load, which is independent of traffic and so valid in a disturbance too."""
+        """Update `connections_per_weight`, which is independent of traffic and so valid in a disturbance."""
         if not self._reports_connections:
             return
         warm = [s for s in servers if self.effective_size(s, now_us) >= s.weight]
--- a/limerudder/policy/selection.py
+++ b/limerudder/policy/selection.py
@@ -181,7 +181,7 @@
         return min(candidates, key=lambda server: server.connection_count) if candidates else None
 
     def _may_reclaim_capacity(self, connection: Connection) -> bool:
-        """Whether a reconnecting client may reuse its previous capacity, judged by load reports only."""
+        """Whether a reconnecting client may reuse its previous capacity; then only reported loads count."""
         return (
             connection.is_reconnect
             and self.loads.mean_reported_load <= PREFERRED_LOAD
@@ -191,7 +191,8 @@
     def _select_unhealthy(self, connection: Connection) -> Server | None:
         """Select among all ready servers if none is healthy.
 
-        A fault in a shared dependency can make all servers look unhealthy; health then does not discriminate.
+        A fault in a shared dependency can make all servers look unhealthy; then health does not distinguish
+        them.
         """
         if self._has_healthy_server():
             return None
--- a/limerudder/policy/sweep_segments.py
+++ b/limerudder/policy/sweep_segments.py
@@ -1,6 +1,6 @@
 """Limits the number of servers that one node polls for load reports at a time, by dividing large fleets.
 
-The resources that a node needs must not grow with the fleet: each polled server takes a descriptor, a
+The resources that a node needs must not grow with the fleet: each polled server needs a descriptor, a
 connection and work at the same time. A fleet of more than `MAX_SWEPT_SERVERS` is divided into segments of
 about that size by the servers' ids, which are the same at all nodes. A node always polls the same segment, so
 that its connections last.
--- a/limerudder/policy/traffic_rates.py
+++ b/limerudder/policy/traffic_rates.py
@@ -6,7 +6,7 @@
 from limerudder.policy.gossip import LoadGossip
 from limerudder.policy.records import SECOND, RateEstimator
 
-#: Time after the start in which existing connections count as requests and earn health checks as they do.
+#: Time after the start during which existing connections count as requests and so earn health checks.
 EXISTING_CONNECTIONS_WINDOW_US = 60 * SECOND
 #: Maximum mean lifetime of a connection, which limits the age of those that existed at the start.
 MAX_MEAN_CONNECTION_LIFETIME_US = 300 * SECOND
--- a/limerudder/simulator/adapter.py
+++ b/limerudder/simulator/adapter.py
@@ -99,7 +99,7 @@
 
 def main() -> int:
     """Serve standard input; report malformed input in one line on standard error."""
-    gc.disable()  # Events create no reference cycles, and pauses of the collector would count as the node's
+    gc.disable()  # Events create no reference cycles, and collector pauses would count as delays of a node
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as exc:
--- a/limerudder/store_runtime.py
+++ b/limerudder/store_runtime.py
@@ -29,9 +29,10 @@
 OPEN_WARNING_SECONDS = 5.0  #: Time after which the log warns that the directory is still in use
 DONE_ANSWER = "done\n"  #: Console answer to a successful call
 
-#: Parameters: format, maximum lines of a kind in a window, length of the window in seconds
+#: Configures the log; parameters: format, maximum lines of a kind in a window, window length in seconds.
 ConfigureLog = Callable[[str, int, float], None]
-AnnounceDrain = Callable[[str, int], None]  #: Parameters: name of the upstream, its start time in ms
+#: Announces a drain to a successor process. Parameters: name of the upstream, its start time in ms.
+AnnounceDrain = Callable[[str, int], None]
 
 
 class StoreRuntime:
--- a/tests/test_faulty_calls.py
+++ b/tests/test_faulty_calls.py
@@ -17,7 +17,7 @@
 SCENARIO_TIMEOUT_SECONDS = 60
 ONE_IN = 7
 SEED = 33
-START_MS = 1000  #: No calls fail during the node's start
+START_MS = 1000  #: Time from the process start until calls begin to fail
 
 CALLS = {
     "accept, descriptors": "accept=ENFILE+EMFILE",
--- a/tests/test_policy_fleet.py
+++ b/tests/test_policy_fleet.py
@@ -80,9 +80,9 @@
 
 
 def test_the_load_of_a_draining_server_is_expected_at_the_others() -> None:
-    """When six in ten servers were replaced in 7 s, 40 nodes filled those that old reports showed idle."""
+    """When six in ten servers were replaced in 7 s, 40 nodes filled those that looked idle in old reports."""
     driver = Driver(TIER_SETTINGS, servers=SERVERS)
-    driver.report_load(1, 0.6)  # shorter than a report of these settings, so it has no load
+    driver.report_load(1, 0.6)  # has fewer fields than these settings' reports, so no load is read
     for server_id in range(2, 7):
         load_report = (0.0, 10.0, 0.6 if server_id < 4 else 0.2)
         driver.deliver(HealthCheckResult(server_id, 1000, AttemptOutcome.OK, load_report))
--- a/tests/test_slow_loading.py
+++ b/tests/test_slow_loading.py
@@ -1,4 +1,4 @@
-"""Tests that slow loading of endpoints does not shorten the time-outs of later calls."""
+"""Tests that slow loading of endpoints does not shorten the timeouts of later calls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from limerudder.config import load_config
 from tests.node_testbed import NodeTestbed
 
-LOADING_US = SECOND  #: Loading time; longer than the first-byte time-out of a call to an agent
+LOADING_US = SECOND  #: Loading time; longer than the first-byte timeout of a call to an agent
 
 
 class SlowLoadingTestbed(NodeTestbed):
--- a/tests/test_start_with_many_hosts.py
+++ b/tests/test_start_with_many_hosts.py
@@ -202,7 +202,7 @@
 
 
 def test_a_node_without_descriptors_prints_one_line_and_exits(tmp_path: Path) -> None:
-    """Guards against a limit too low for a start that caused a traceback of the event loop."""
+    """Guards against a traceback of the event loop if the limit is too low for a start."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
