--- a/limerudder/core/client/admission.py
+++ b/limerudder/core/client/admission.py
@@ -45,8 +45,8 @@
     @property
     def max_health_checks(self) -> int:
         """Maximum number of health check connections covered by the reserve."""
-        beyond_base = min(self.listed_upstreams, max(self.max_descriptors // 2 - self.reserved, 0))
-        return max(beyond_base, self.reserved // 4)
+        reserved_for_listed = min(self.listed_upstreams, max(self.max_descriptors // 2 - self.reserved, 0))
+        return max(reserved_for_listed, self.reserved // 4)
 
     @property
     def max_closing(self) -> int:
--- a/limerudder/core/client/open_line.py
+++ b/limerudder/core/client/open_line.py
@@ -136,7 +136,7 @@
     return int(text, 16)
 
 
-def _parse_number(text: str, form: re.Pattern[str], unit: int) -> int:
-    if not form.fullmatch(text) or float(text) * unit >= FIELD_VALUE_LIMIT:
+def _parse_number(text: str, pattern: re.Pattern[str], unit: int) -> int:
+    if not pattern.fullmatch(text) or float(text) * unit >= FIELD_VALUE_LIMIT:
         raise MalformedLineError(text)
     return int(float(text) * unit)
--- a/limerudder/core/lifecycle/hot_restart/handover_state.py
+++ b/limerudder/core/lifecycle/hot_restart/handover_state.py
@@ -38,15 +38,15 @@
     return {"descriptors": usage.descriptors, "at": usage.connections_by_upstream}
 
 
-def usage_from_json(given: Any) -> ProcessUsage:
+def usage_from_json(document: Any) -> ProcessUsage:
     """Parse the usage from its JSON object; raises one of MALFORMED_VALUE_ERRORS."""
-    descriptors = int(given["descriptors"])
-    return ProcessUsage(descriptors, _integers_by_name(given["at"]))
+    descriptors = int(document["descriptors"])
+    return ProcessUsage(descriptors, _integers_by_name(document["at"]))
 
 
 def format_handover_state(state: HandoverState) -> bytes:
     """Return the state as one line of JSON, including the newline."""
-    given = {
+    document = {
         "hosts": format_endpoint_list(state.endpoints),
         "ids": [f"{request_id:016x}" for request_id in state.request_ids],
         "holds": usage_to_json(state.usage),
@@ -54,19 +54,19 @@
         "reloaded": state.config_reloaded,
         "drained": state.drained_starts,
     }
-    return json.dumps(given).encode() + b"\n"
+    return json.dumps(document).encode() + b"\n"
 
 
 def parse_handover_state(line: bytes) -> HandoverState:
     """Parse the state line; raises HandoverFormatError."""
     try:
-        given = json.loads(line)
-        request_ids = tuple(int(request_id, 16) for request_id in given["ids"])
-        return_to_service_times = _integers_by_name(given["returned"])
-        usage = usage_from_json(given["holds"])
-        config_reloaded = bool(given["reloaded"])
-        drained_starts = _integers_by_name(given.get("drained", {}))  # the first release does not send it
-        endpoints = parse_endpoint_list(given["hosts"])
+        document = json.loads(line)
+        request_ids = tuple(int(request_id, 16) for request_id in document["ids"])
+        return_to_service_times = _integers_by_name(document["returned"])
+        usage = usage_from_json(document["holds"])
+        config_reloaded = bool(document["reloaded"])
+        drained_starts = _integers_by_name(document.get("drained", {}))  # the first release does not send it
+        endpoints = parse_endpoint_list(document["hosts"])
     except (*MALFORMED_VALUE_ERRORS, RecursionError) as exc:
         raise HandoverFormatError(f"malformed handover state: {type(exc).__name__} {exc}") from exc
     return HandoverState(
@@ -74,5 +74,5 @@
     )
 
 
-def _integers_by_name(given: Any) -> dict[str, int]:
-    return {str(name): int(value) for name, value in given.items()}
+def _integers_by_name(document: Any) -> dict[str, int]:
+    return {str(name): int(value) for name, value in document.items()}
--- a/limerudder/policy/retry.py
+++ b/limerudder/policy/retry.py
@@ -119,8 +119,8 @@
 
         Only the first d candidates are polled: each additional one would repeat the group's shared work.
         """
-        reports_come_in_time = self.context.clock.now_us + REPORT_WAIT_US < connection.objective_at_us
-        if not self.poller.on_demand or connection.candidates_polled or not reports_come_in_time:
+        reports_arrive_in_time = self.context.clock.now_us + REPORT_WAIT_US < connection.objective_at_us
+        if not self.poller.on_demand or connection.candidates_polled or not reports_arrive_in_time:
             return False
         connection.candidates_polled = True
         polled = False
--- a/limerudder/policy/settings_reader.py
+++ b/limerudder/policy/settings_reader.py
@@ -56,9 +56,9 @@
     return str(value).replace(",", "_").replace(" ", "_")
 
 
-def read_settings(given: Mapping[str, str]) -> Settings:
+def read_settings(values: Mapping[str, str]) -> Settings:
     """Convert the pairs to Settings; unknown keys are ignored. Raises SettingsError."""
-    pairs = _Pairs(given)
+    pairs = _Pairs(values)
     classes = _read_classes(pairs)
     report_fields = pairs.optional("loadInfo.fields", "", str)
     return Settings(
@@ -121,8 +121,8 @@
 class _Pairs:
     """Typed access to the pairs; raises SettingsError for missing keys and invalid values."""
 
-    def __init__(self, given: Mapping[str, str]) -> None:
-        self._pairs = {key: value for key, value in given.items() if value != NULL}
+    def __init__(self, values: Mapping[str, str]) -> None:
+        self._pairs = {key: value for key, value in values.items() if value != NULL}
 
     def __contains__(self, key: str) -> bool:
         return key in self._pairs
--- a/limerudder/policy/slow_start.py
+++ b/limerudder/policy/slow_start.py
@@ -44,7 +44,7 @@
 #: Maximum delay of a process between a decision and the last byte on the wire; base turns end earlier than
 #: their slot by this time.
 MAX_STALL_US = 150_000
-MAX_STALL_SHARE_OF_SLOT = 8  #: Divisor: the stall allowed for is at most an eighth of a slot
+MAX_STALL_SLOT_DIVISOR = 8  #: The stall allowed for is at most an eighth of a slot
 NEVER_US = 1 << 62
 NO_SLOT = -1
 UNKNOWN_NODE_INDEX = -1  #: Index of a node that has none in the settings; it gets no turns
@@ -63,7 +63,7 @@
         self._base = SlotSchedule(index, count, self._window_us)
         self._shares = SlotSchedule(index, count, self._window_us // SHARE_SLOTS_PER_WINDOW)
         self._node_count = count
-        self._max_stall_us = min(MAX_STALL_US, self._window_us // MAX_STALL_SHARE_OF_SLOT)
+        self._max_stall_us = min(MAX_STALL_US, self._window_us // MAX_STALL_SLOT_DIVISOR)
         #: Earliest start of a usable slot; another process of this node may have used turns of earlier ones.
         self._first_slot_start_us = NEVER_US
         self._cached_servers: list[Server] = []  # servers with turns, cached for `_cached_slot`
--- a/limerudder/policy/slow_start_schedule.py
+++ b/limerudder/policy/slow_start_schedule.py
@@ -43,8 +43,8 @@
         """
         if not self.has_turns or mean_turns <= 0:
             return 0
-        whole = int(mean_turns)
-        return whole + (self._rank(server_id, slot) < mean_turns - whole)
+        whole_turns = int(mean_turns)
+        return whole_turns + (self._rank(server_id, slot) < mean_turns - whole_turns)
 
     def _rank(self, server_id: int, slot: int) -> float:
         """Return this node's position in the slot, in [0, 1); all nodes' positions are evenly spaced."""
--- a/limerudder/simulator/decoding.py
+++ b/limerudder/simulator/decoding.py
@@ -158,10 +158,10 @@
         self.position += REPORT_FIELD_BYTES * size
         return report
 
-    def _read_bytes(self, size: int, what: str) -> bytes:
+    def _read_bytes(self, size: int, part: str) -> bytes:
         end = self.position + size
         if end > len(self._body):
-            raise ProtocolError(f"{what} at byte {self._record_start} extends past the end of the frame")
+            raise ProtocolError(f"{part} at byte {self._record_start} extends past the end of the frame")
         data = self._body[self.position : end]
         self.position = end
         return data
