--- a/tests/node_testbed.py
+++ b/tests/node_testbed.py
@@ -107,7 +107,7 @@
         return session, transport
 
     def attempts(self) -> list[FakeTransport]:
-        """Return the open dials to upstreams for a client's line."""
+        """Return the transports of the attempts that are dialling or connected."""
         return [dial for dial in self.dials if hasattr(dial.machine, "line") and not dial.closed]
 
     def establish_client(self, line: str = LINE) -> tuple[LineSession, FakeTransport, FakeTransport]:
--- a/tests/policy_driver.py
+++ b/tests/policy_driver.py
@@ -83,9 +83,9 @@
     report_fields=("queue", "x0"),
     prices={"probe": 0.002},
 )
-#: Without load reports and without groups.
+#: Settings without load reports and without groups.
 MINIMAL_SETTINGS = replace(BASE_SETTINGS, allows_health_checks=False, has_groups=False)
-#: Health checks are free, so every sweep polls every server.
+#: Settings in which health checks are free, so that every sweep polls every server.
 FREE_HEALTH_CHECKS = replace(BASE_SETTINGS, prices={})
 
 NEVER_US = 1 << 62  #: A time that no test reaches
@@ -243,7 +243,7 @@
         assert grouped <= len(self.attempts)
 
     def update_endpoints(self, entries: Sequence[ServerEntry], kind: int = UpdateKind.DELTA) -> list[Action]:
-        """Deliver an endpoint list or changes to it."""
+        """Deliver a complete endpoint list, or only its changes."""
         if kind in (UpdateKind.FULL, UpdateKind.CACHED):
             for server_id, entry in self.entries.items():
                 self.entries[server_id] = entry._replace(state=ServerState.GONE)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 
 
 def test_idle_clients_are_evicted_longest_idle_first_when_descriptors_are_short(tmp_path: Path) -> None:
-    # a capacity of 12; of the 12 reserved descriptors, 3 are for closing connections
+    # 12 of the 24 descriptors are reserved, 3 of those for closing connections; the capacity is the other 12
     testbed = node_testbed(tmp_path, limits={"sockets": 24})
     established = [testbed.establish_client() for _ in range(3)]
     idle = [testbed.connect() for _ in range(6)]
@@ -54,5 +54,5 @@
     _, idle = testbed.send_request("PING")
     transports = [established, rejected, idle]
     assert [transport.sent for transport in transports] == [b"UP 77\r\n", b"BUSY\r\n", b"PONG\r\n"]
-    assert [transport.closed for transport in transports] == [False, True, False], "only the rejected client"
+    assert [transport.closed for transport in transports] == [False, True, False], "the others stay open"
     assert len(testbed.attempts()) == 1
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -15,7 +15,7 @@
 
 
 def test_a_client_that_disconnects_while_its_attempt_is_dialled_is_never_forwarded(tmp_path: Path) -> None:
-    """Applies even if the settings forbid cancelling attempts, since this one has sent nothing yet."""
+    """Applies even if the settings forbid cancelling attempts, since the upstream has received no data."""
     testbed = node_testbed(tmp_path, settings=settings(cancel=False))
     session, _ = testbed.send_request()
     (attempt,) = testbed.attempts()
@@ -105,7 +105,7 @@
     assert attempt.closed and transport.half_closed and not testbed.node.requests
 
 
-def test_while_one_side_reads_slowly_reading_from_the_other_is_paused(tmp_path: Path) -> None:
+def test_reading_from_one_side_is_paused_while_the_other_reads_slowly(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
     session, transport, attempt = testbed.establish_client()
     for paused in (True, False):
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -18,7 +18,7 @@
     driver.update_endpoints([server_entry(2)])
     driver.run(BASE_SETTINGS.poll_interval_us)
     subscriptions = len(driver.actions_of_type(WatchEndpoints))
-    assert subscriptions == 2, "renewed before the node counts as not notified"
+    assert subscriptions == 2, "renewed before discovery would count the node as not notified"
     for _ in range(6):
         driver.deliver(EndpointUpdate(UpdateKind.FAILED, 0, ()))
     driver.run(SECOND)
--- a/tests/test_client_session.py
+++ b/tests/test_client_session.py
@@ -60,7 +60,7 @@
     first_line_bytes = len(sent.removeprefix(b"PING\r\n"))
     testbed.run(2_500_000 - first_line_bytes * 100_000)
     testbed.run(5000)
-    # a client that has not started a line gets BUSY, which also answers a line in transit
+    # a client that has not started a line gets BUSY, also as the final answer to a line in transit
     assert transport.sent.removeprefix(b"PONG\r\n") == (b"ERR\r\n" if sent else b"BUSY\r\n")
     assert transport.half_closed and not transport.closed
     if not sent:
@@ -101,7 +101,7 @@
 
 
 def test_a_client_that_waits_is_read_on_and_seen_to_disconnect(tmp_path: Path) -> None:
-    """Reading is paused, as the client has not read its PONGs, but its first line arrives nevertheless."""
+    """Reading resumes once the first line has arrived, although the client has not read its PONGs."""
     testbed = node_testbed(tmp_path)
     session, transport = testbed.send_request("PING")
     session.set_writing_paused(True)
--- a/tests/test_deployment_sites.py
+++ b/tests/test_deployment_sites.py
@@ -36,7 +36,7 @@
 
 
 def names(site: dict[str, Any]) -> set[str]:
-    """Return the names in a deployment, for which a program could be special-cased."""
+    """Return the names that a deployment defines; the program must not depend on any of them."""
     listed = [entry["name"] for entry in (*site["class"], *site["tenant"], *site["tier"])]
     kinds = [kind["name"] for tier in site["tier"] for kind in tier["kind"]]
     return {site["name"], *listed, *kinds, *site["net"]["zones"]}
--- a/tests/test_discovery_client.py
+++ b/tests/test_discovery_client.py
@@ -103,7 +103,7 @@
 def test_a_large_list_arrives_even_if_it_exceeds_the_initial_timeout(
     tmp_path: Path, listed_hosts: int
 ) -> None:
-    """Guards against every call's deadline cutting off a slow service's list of thousands of upstreams."""
+    """Guards against deadlines that cut off each call to a slow service with thousands of upstreams."""
     testbed = node_testbed(tmp_path)
     text = json.dumps(hosts(*(host(f"s-{n}") for n in range(listed_hosts)))).encode() + b"\n"
     step_us = SECOND // 2
--- a/tests/test_discovery_timing.py
+++ b/tests/test_discovery_timing.py
@@ -1,8 +1,9 @@
 """Tests of discovery deadlines: a change arrives once discovery answers, however earlier calls failed.
 
-A real node on a simulated clock calls a scripted discovery, whose calls fail as drawn by Hypothesis until a
-point in time from which each new call is answered. From then on the operators allow 6 s, which includes an
-open dead call, the wait after its failure and the time of the answer itself.
+A real node on a simulated clock calls a scripted discovery service. Its calls fail as drawn by Hypothesis up
+to a point in time; every call opened later is answered. From that point, the operators allow 6 s until a
+change is applied, which includes the timeout of a call that is still open, the backoff after it and the
+answer.
 """
 
 from __future__ import annotations
@@ -84,7 +85,7 @@
         self.testbed = testbed
         self.fates = iter(fates)
         self.drained = False
-        self.calls: dict[int, ScriptedCall] = {}  # Key: index of the dial
+        self.calls: dict[int, ScriptedCall] = {}  # keyed by the index of the dial
         self.answered: set[int] = set()
 
     def step(self) -> None:
@@ -98,7 +99,7 @@
     def _next_fate(self) -> Fate:
         if not self.drained:
             return next(self.fates, Fate.SILENT)
-        # An agent on the same machine answers at once, a service with many callers late.
+        # An agent on the same machine answers immediately, a service with many callers after LATE_ANSWER_US.
         is_agent = self.testbed.node.settings.discovery == "pushed"
         return Fate.GOOD if is_agent else Fate.LATE_THEN_GOOD
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -25,7 +25,7 @@
 
 
 def test_one_node_polls_per_round_and_all_nodes_get_the_reports() -> None:
-    """Without gossip 40 nodes polled 520 times in 25 s and had the loads of two servers of twelve."""
+    """Regression: without gossip, 40 nodes polled 520 times in 25 s and had the loads of 2 of 12 servers."""
     tier = Tier()
     tier.run(20 * SECOND)
     assert tier.nodes_with_all_loads() == NODE_COUNT
@@ -139,13 +139,13 @@
 def test_a_report_that_reaches_all_nodes_at_once_causes_no_wave_of_migrations() -> None:
     """Regression: 60 nodes relieved the same servers again before reports showed the first migrations."""
     migrations = count_migrations(Tier(), 1.2)
-    # 240 connections; each node migrates two at once, then at the rate allowed for the shared store
+    # 240 connections; each node migrates two immediately, others at the rate that the shared store allows
     assert 0 < migrations <= NODE_COUNT * 4
     assert count_migrations(Tier(), 0.8) == 0
 
 
 def test_the_second_round_does_not_wait_for_the_interval_that_the_first_computed() -> None:
-    """Regression: when connections were added after the first round, servers were assumed idle for 8 s."""
+    """Regression: servers were assumed idle for 8 s if connections were added after the first round."""
     tier = Tier()
     tier.run(SECOND // 2)
     tier.add_connections(5)
@@ -154,7 +154,7 @@
 
 
 def test_rounds_become_more_frequent_as_soon_as_connections_cover_their_cost() -> None:
-    """Each node checks every second whose turn it is, not only after the previous interval."""
+    """Each node checks every second which node polls next, not only at the end of the previous interval."""
     tier = Tier()
     tier.run(2 * SECOND + SECOND // 4)  # Each node has checked once
     datagrams_before = tier.datagrams
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -45,7 +45,7 @@
     "writing_paused",
 ]
 LISTED_STATES = [ServerState.READY] * 4 + [ServerState.DRAINING] * 2 + [ServerState.GONE]
-# Events go to one of this many latest clients, since a client that may still be waiting matters most.
+# Number of latest clients that receive events; those may still be waiting for an answer.
 RECENT_COUNT = 3
 
 
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -39,7 +39,7 @@
 def test_the_clients_of_a_silent_upstream_are_migrated_step_by_step_while_it_is_silent(
     tmp_path: Path, recovers: bool
 ) -> None:
-    """Guards against clients waiting until a cut-off machine is back, as 42 clients of two machines did."""
+    """Regression: 42 clients waited until the two unreachable machines of their upstreams had recovered."""
     testbed = node_testbed(tmp_path, known=hosts(host("s-1")))
     established = [testbed.establish_client() for _ in range(20)]
     first_session, _, _ = established[0]
--- a/tests/test_load_inference.py
+++ b/tests/test_load_inference.py
@@ -58,7 +58,7 @@
 def make_fleet(
     seed: int, load: float, settings: Settings = NO_REPORTS, resets: bool = False
 ) -> OverloadFleet:
-    """Three nodes, servers of three sizes, and clients with a total load of `load` times all capacity."""
+    """Return three nodes, servers of three sizes, and clients that need `load` times the total capacity."""
     rng = Random(seed)
     clients = [
         SimulatedClient(
@@ -117,7 +117,7 @@
 def count_resets_while_nodes_restart(settings: Settings) -> ResetCounts:
     """Restart all nodes while servers reset their newest connections and no message latency is sampled.
 
-    Resets and attempts afterwards are those in the 17 s after the last restart.
+    `resets_afterwards` and `attempts_afterwards` cover the 17 s that begin 4 s after the last restart.
     """
     resets = 0
     resets_afterwards = 0
@@ -220,7 +220,7 @@
 
 
 def make_inferred_server() -> InferredServer:
-    """One server with 100 connections of the mean load, as one of two nodes sees it."""
+    """Return a server with 100 connections of the mean load, as one of two nodes sees it."""
     loads = InferredLoads(replace(NO_REPORTS, node_count=2), SECOND)
     server = Server(1)
     server.state = ServerState.READY
@@ -236,7 +236,7 @@
 
 
 def new_connection(request_id: int, client_key: int, flags: int = 0, now_us: int = SECOND) -> Connection:
-    """A request without an attempt so far."""
+    """Return the connection of a request that has no attempt yet."""
     event = NewRequest(request_id, 0, 0, client_key, SECOND, 0, 0, flags)
     return Connection(event, NO_REPORTS.classes[0], now_us)
 
@@ -244,7 +244,7 @@
 def record_rising_latency(loads: InferredLoads, server: Server) -> float:
     """Record a latency that rises by 0.25 s per second, which corresponds to a load of 1.25.
 
-    Returns how much of this node's load has to leave the server.
+    Return the load that this node has to migrate away from the server.
     """
     loads.record_message_latency(server, 100_000, 10 * SECOND)
     loads.remember_own_load(server)
--- a/tests/test_load_polling.py
+++ b/tests/test_load_polling.py
@@ -12,7 +12,7 @@
 
 
 def test_no_request_is_rejected_if_no_health_check_is_answered() -> None:
-    """No answer from one server indicates overload; no answer from any, that health checks fail."""
+    """A single server that does not answer is assumed overloaded; if none answers, health checks fail."""
     driver = Driver(BASE_SETTINGS, servers=server_entries(30))
     requests = []
     for _ in range(10):
@@ -25,7 +25,7 @@
 
 
 def test_a_server_without_a_report_is_not_assumed_to_be_idle() -> None:
-    """Regression: a quarter of all connections went to overloaded servers that had not answered yet."""
+    """Regression: a quarter of all connections went to overloaded servers without a load report so far."""
     driver = Driver(BASE_SETTINGS, servers=server_entries(2))
     request_id = driver.request()
     polled = [health_check.server_id for health_check in driver.actions_of_type(CheckHealth)]
@@ -60,7 +60,7 @@
 
 
 def test_sweeps_start_as_soon_as_requests_cover_their_cost() -> None:
-    """A node that starts without state gets its clients at once and must not wait for a whole interval."""
+    """A node that starts without state gets its clients at once, so its first sweep must not be delayed."""
     driver = Driver(PRICED_HEALTH_CHECKS, servers=server_entries(10))
     for group in range(10):
         driver.request(group=group)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -49,8 +49,8 @@
 def test_a_server_in_slow_start_keeps_to_its_budget() -> None:
     """A new server has no connections and would always be selected, so the budget has to limit it.
 
-    In every window of one second, both nodes together stay within the operators' bound. N is twice the
-    server's present capacity, which follows from the 20 connections per second at nine servers.
+    In every window of one second, the attempts of both nodes stay within the operators' limit for a budget of
+    twice the server's present capacity; a warm server's capacity is a ninth of 20 connections per second.
     """
     attempts_at_new_server = 0
     for seed in range(20):
@@ -72,8 +72,8 @@
         for first in arrivals:
             capacity_share = 0.25 + 0.75 * (first - started_us) / MINIMAL_SETTINGS.warm_up_us
             budget = 2 * capacity_share * 20 / 9
-            calls = sum(first <= arrival < first + SECOND for arrival in arrivals)
-            assert calls <= allowed_attempts(budget)
+            attempts_in_window = sum(first <= arrival < first + SECOND for arrival in arrivals)
+            assert attempts_in_window <= allowed_attempts(budget)
     assert attempts_at_new_server > 0
 
 
@@ -112,7 +112,7 @@
 def test_a_server_in_slow_start_gets_no_more_for_reports_of_spare_capacity(
     load: float | None, mean_load: float, node_count: int, predecessor_connections: int
 ) -> None:
-    """The budget is based on the rate before the server's start, as a disturbance distorts reports."""
+    """The budget follows from the rate before the server's start, as a disturbance distorts reports."""
     settings = replace(MINIMAL_SETTINGS, node_count=node_count)
     turns = set[int]()
     for is_reported in (False, True):
@@ -186,7 +186,7 @@
 
 
 def test_attempts_at_a_server_are_limited_and_the_other_servers_are_used_meanwhile() -> None:
-    """A node that had just restarted started 26 attempts at a single server within half a second."""
+    """Regression: a node started 26 attempts at a single server within half a second of its restart."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     requests = [driver.request() for _ in range(12)]
     started = [request_id for request_id in requests if request_id in driver.attempts]
@@ -219,7 +219,7 @@
 def test_marginal_load_is_computed_from_reported_connections(
     reported_connections: float, load_per_connection: float
 ) -> None:
-    """A node that had just restarted estimated the load of each connection at 0.15 of a server."""
+    """Regression: just after a restart, a node estimated the load per connection at 0.15 of a server."""
     driver = driver_with_reports(CONNECTIONS_REPORTED, reported_connections, 0.6)
     assert driver.balancer.loads.load_per_connection == pytest.approx(load_per_connection)
 
@@ -230,7 +230,7 @@
 def test_reconnecting_clients_are_not_counted_twice_while_the_fleet_has_capacity(
     flags: int, load: float, established: int
 ) -> None:
-    """After a node had stopped, its clients were rejected although their previous capacity was free."""
+    """Regression: after a node had stopped, its clients were rejected although their capacity was free."""
     driver = driver_with_reports(CONNECTIONS_REPORTED, 39.0, load)
     for _ in range(40):
         request_id = driver.request(flags=flags)
@@ -281,7 +281,7 @@
 
 
 @pytest.mark.parametrize(("reported_loads", "served"), [((0.7, 0.7), True), ((0.5, 1.0), False)])
-def test_where_loads_fluctuate_more_capacity_is_kept_free(
+def test_more_capacity_is_kept_free_while_loads_fluctuate(
     reported_loads: tuple[float, float], served: bool
 ) -> None:
     """If reports fluctuate widely, the last one is unreliable: a server at 0.7 may soon exceed 1."""
@@ -316,7 +316,7 @@
 
 
 def test_servers_without_slow_start_budget_do_not_exclude_all_others() -> None:
-    """A fleet grew while all servers were slow; the new, healthy ones had no budget, and none was used."""
+    """Regression: a fleet grew while its servers were slow; as the new ones had no budget, none was used."""
     driver = Driver(MINIMAL_SETTINGS, servers=server_entries(2))
     new_servers = range(3, 9)
     driver.update_endpoints(
--- a/tests/test_policy_fleet.py
+++ b/tests/test_policy_fleet.py
@@ -43,7 +43,7 @@
 
 
 def test_first_requests_of_nodes_that_start_together_have_different_candidates() -> None:
-    """Request ids begin at 1 at every node; used as ring keys, they led to the same candidates."""
+    """Regression: request ids, which begin at 1 at each node, were ring keys and led to equal candidates."""
     candidates = set[tuple[int, ...]]()
     for index in range(NODE_COUNT):
         settings = replace(TIER_SETTINGS, node_index=index, allows_health_checks=False)
@@ -57,7 +57,7 @@
 def test_a_zone_that_returns_in_slow_start_is_not_overloaded_by_all_nodes() -> None:
     """All nodes prefer the zone at once; their requests in 2 s stay within three times its capacity."""
     tier = Tier(load=0.1)
-    for _ in range(10):  # the tier's usual rate is four per second for six servers
+    for _ in range(10):  # usual rate of the tier: four requests per second at six servers
         tier.connect_clients(range(4), 1)
     cold_server = server_entry(1, ready_since_us=tier.nodes[0].now_us)
     for node in tier.nodes:
@@ -66,7 +66,8 @@
     attempts_before = count_attempts(tier, server_id=1)
     for _ in range(2):
         tier.connect_clients(range(NODE_COUNT), 4)
-    # 160 clients in 2 s are 27 per server; three times a quarter of that is 20. Without a budget it got 51.
+    # 160 requests in 2 s are 27 per server. The limit is three times a quarter of that, 20 attempts; without
+    # a slow-start budget, the server got 51.
     assert count_attempts(tier, server_id=1) - attempts_before <= 20
 
 
@@ -80,9 +81,12 @@
 
 
 def test_the_load_of_a_draining_server_is_expected_at_the_others() -> None:
-    """When six in ten servers were replaced in 7 s, 40 nodes filled those that old reports showed idle."""
+    """Regression: 40 nodes filled servers that old reports showed as idle.
+
+    Six in ten servers had been replaced in 7 s.
+    """
     driver = Driver(TIER_SETTINGS, servers=SERVERS)
-    driver.report_load(1, 0.6)  # shorter than a report of these settings, so it has no load
+    driver.report_load(1, 0.6)  # has no load: fewer fields than these settings list
     for server_id in range(2, 7):
         load_report = (0.0, 10.0, 0.6 if server_id < 4 else 0.2)
         driver.deliver(HealthCheckResult(server_id, 1000, AttemptOutcome.OK, load_report))
@@ -133,7 +137,7 @@
             if request_id in node.attempts:
                 node.establish(request_id)
                 node.end_attempt(request_id, AttemptOutcome.OK)
-        assert attempts_at_outlier <= 2  # one, and a trial after one second
+        assert attempts_at_outlier <= 2  # the first attempt, and a trial after an ejection of one second
 
 
 def test_every_request_is_answered_while_all_servers_but_one_are_full() -> None:
@@ -151,7 +155,7 @@
             driver.run(SECOND // 10)
         driver.run(SECOND)
         assert driver.requests[request_id].answered
-    assert established >= 15  # requests with attempts left find the server with capacity
+    assert established >= 15  # the others use up their attempts at full servers
 
 
 def test_a_node_with_one_request_a_second_has_the_loads_of_all_servers() -> None:
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -91,7 +91,7 @@
 async def a_graceful_shutdown_evicts_idle_clients(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise they would stay idle until the process exits, and a request sent then would be reset."""
+    """Without eviction, clients would stay until the process exits, and a late request would be reset."""
     async with testbed.running_node(settings=quick_settings()) as node:
         client = await testbed.connect()
         silent = await testbed.connect()
@@ -393,7 +393,7 @@
         watch.send_watch_answer(
             hosts(host("s-1", upstream_address, "leaving"), host("s-9", upstream_address))
         )
-        assert await first.read_line() == "MOVE", "the node has received the update that its host drains"
+        assert await first.read_line() == "MOVE", "the node has received the list in which the host drains"
         process.send_signal(signal.SIGTERM)
         assert process.subprocess.stderr
         logged = (await process.subprocess.stderr.read()).decode()
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -114,7 +114,7 @@
     def elect(self, member_id: int) -> Raft:
         """Make a member the leader."""
         raft = self.members[member_id]
-        for _ in range(3):  # the first rounds may only adopt a later term
+        for _ in range(3):  # a first round may do no more than adopt a later term
             self.now_us += 200 * MS
             raft._election.deadline_us = 0
             for member in self.members.values():
@@ -223,7 +223,7 @@
 
 
 def test_an_entry_of_an_older_term_is_not_committed_by_counting_replicas() -> None:
-    """Reproduces figure 3.7 of the dissertation."""
+    """Reproduces figure 3.7 of Ongaro's dissertation on Raft."""
     members = config(1, 2, 3, 4, 5)
     cluster = LocalCluster(1, 2, 3, 4, 5)
     old = Entry(1, 2, EntryKind.DATA, b"old")
@@ -235,7 +235,7 @@
     cluster.members[5] = cluster.create_member(5, members, hard_state=HardState(3, 5), entries=(newer,))
 
     def drops_new_entries(sender: int, recipient: int, message: RaftMessage) -> bool:
-        """Drop the new leader's first entry, while heartbeats confirm the old entry on three members."""
+        """Drop new entries and isolate member 5; heartbeats still confirm the old entry on three members."""
         has_entries = isinstance(message, AppendEntries) and bool(message.entries)
         return 5 in (sender, recipient) or has_entries
 
--- a/tests/test_rebalancing.py
+++ b/tests/test_rebalancing.py
@@ -26,7 +26,7 @@
 def test_connections_are_migrated_to_the_local_zone_if_it_has_capacity_and_migration_pays_off(
     settings: Settings, local_load: float, migrations: int
 ) -> None:
-    """Four connections that started in another zone cost 0.067 to 0.096 of the fleet's result."""
+    """Regression: four connections that started in another zone cost 0.067 to 0.096 of the fleet's result."""
     driver = Driver(settings, servers=SERVERS)
     for _ in range(4):
         driver.add_connection(REMOTE_SERVER)
@@ -61,7 +61,7 @@
 def test_the_local_zone_is_filled_no_further_than_the_fleet_or_the_current_server(
     local_load: float, remote_load: float, migrates: bool
 ) -> None:
-    """Local servers at 0.7 had no capacity for a load spike: 289 resets, 393 attempts timed out."""
+    """Regression: local servers at 0.7 could not absorb a load spike: 289 resets, 393 attempts timed out."""
     driver = Driver(TWO_ZONES, servers=SERVERS)
     for _ in range(10):
         driver.add_connection(REMOTE_SERVER)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -54,7 +54,7 @@
     assert 1 not in selected
 
 
-def test_servers_that_are_all_at_the_mean_load_reject_nobody() -> None:
+def test_no_request_is_rejected_while_all_servers_are_at_the_mean_load() -> None:
     """Incident i4f7320: 32 healthy servers at load 0.74, none below the mean, and all requests rejected."""
     driver = Driver(WITHOUT_GROUPS, servers=server_entries(4))
     for server_id in range(1, 5):
@@ -66,7 +66,7 @@
 
 
 def test_independent_nodes_select_the_same_servers_for_a_group() -> None:
-    """In a large tier no node has connections of a group; sampling would repeat its work at all servers."""
+    """In a large tier, few nodes have connections of a group; sampling would repeat its work everywhere."""
     selected = []
     for seed in range(40):
         driver = Driver(WITHOUT_REPORTS, seed, server_entries(50))
@@ -80,7 +80,7 @@
 def test_a_request_costs_the_same_with_ten_and_with_two_hundred_servers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Incident if1c6f9: while all servers were full, each selection checked every one: 431 us an event."""
+    """Incident if1c6f9: while all servers were full, each selection checked all of them: 431 us per event."""
     eligibility_checks: list[int] = []
     is_eligible = ServerSelector.is_eligible
 
@@ -165,7 +165,7 @@
         for _ in range(5):  # each node has only a few connections
             if driver.server_of(driver.connect()) <= 2:
                 selections_of_large_servers += 1
-    assert 70 < selections_of_large_servers < 150  # 200 selections; half by weight, a fifth by number
+    assert 70 < selections_of_large_servers < 150  # of 200; expected: half by weight, a fifth if uniform
 
 
 def test_a_draw_among_thousands_weighs_no_more_servers_than_among_hundreds() -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -51,7 +51,7 @@
 
 
 def test_a_session_from_attach_to_end_of_input() -> None:
-    restart = bytes.fromhex("0b 0300") + START  # Killed and attached again in one batch
+    restart = bytes.fromhex("0b 0300") + START  # the instance is killed and attached again in one batch
     process = run(
         batch(1)
         + batch(2, START)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -32,7 +32,7 @@
 
 
 class FleetSize(NamedTuple):
-    """Size and traffic of the fleet that is simulated for a number of nodes."""
+    """Servers and traffic of the fleet simulated for a given number of nodes."""
 
     server_count: int
     connections_per_second: float  #: Total rate of new connections at all nodes
@@ -289,6 +289,6 @@
         pass
     slot_end_us = -(-driver.now_us // SETTINGS.overload_window_us + 1) * SETTINGS.overload_window_us
     assert balancer.confirm_send(request_id, 1, driver.now_us)
-    assert not balancer.confirm_send(request_id, 1, driver.now_us), "one turn, one request"
+    assert not balancer.confirm_send(request_id, 1, driver.now_us), "a turn allows one request only"
     other = driver.request()
     assert other not in driver.attempts or not balancer.confirm_send(other, 1, slot_end_us - 1)
--- a/tests/test_slow_start_faults.py
+++ b/tests/test_slow_start_faults.py
@@ -25,6 +25,9 @@
 def test_servers_in_slow_start_are_not_overloaded_during_faults(
     outcomes: dict[FaultCase, Future[Outcome]], case: FaultCase
 ) -> None:
-    """Guards against issue 33: more than N + 2 * sqrt(N) + 2 requests in a window (N < 30: 3, 3)."""
+    """Guards against issue 33: requests in a window exceeded the budget N by more than 2 * sqrt(N) + 2.
+
+    The limit for N < 30 is an excess of 3 * sqrt(N) + 3.
+    """
     outcome = outcomes[case].result()
     assert outcome.excess.worst <= 1, outcome
--- a/tests/test_start_with_many_hosts.py
+++ b/tests/test_start_with_many_hosts.py
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1])
 def test_repeated_signals_from_process_start_do_not_end_a_node(tmp_path: Path, number: int) -> None:
-    """Guards against a reload or a request for counters that ended a node during start-up."""
+    """Guards against a signal to reload or to log the counters that ends a node during start-up."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
@@ -142,7 +142,7 @@
         await asyncio.sleep(delay_seconds)
         process.send_signal(signal.SIGTERM)
         exit_code = await asyncio.wait_for(process.wait(), STOP_SECONDS)
-        assert exit_code in (0, -signal.SIGTERM)  # the signal's default code until Python code runs
+        assert exit_code in (0, -signal.SIGTERM)  # the signal's default action applies until Python code runs
         assert not any("Traceback" in line for line in node.lines)
 
     run_scenario(tmp_path, scenario)
@@ -202,7 +202,7 @@
 
 
 def test_a_node_without_descriptors_prints_one_line_and_exits(tmp_path: Path) -> None:
-    """Guards against a limit too low for a start that caused a traceback of the event loop."""
+    """Guards against a traceback of the event loop if the descriptor limit is too low for a start."""
 
     async def scenario(tier: ManyHostsTier, node: NodeProcess) -> None:
         await tier.prepare(probes=False)
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -168,7 +168,7 @@
 
 
 def killed_directory(folder: Path, rounds: int = 30) -> Path:
-    """A copy of a running member's directory, as after a kill, with `rounds` transactions in the WAL."""
+    """Return a copy of a running member's directory, as after a kill, with `rounds` WAL transactions."""
     member_disk = create_disk(folder)
     member_disk.load()
     for n in range(1, rounds + 1):
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -175,14 +175,14 @@
 
 @pytest.fixture
 def killed_store(tmp_path: Path) -> Path:
-    """A copy of the data directory of a member that was killed during a transaction."""
+    """Return a copy of the data directory of a member that was killed during a transaction."""
     folder = tmp_path / "killed"
     shutil.copytree(DATA / "killed-store", folder)
     return folder
 
 
 def _rows(folder: Path) -> Iterator[tuple[Any, ...]]:
-    """All rows of a closed database except the incarnation, which contains a random number."""
+    """Yield all rows of a closed database except the incarnation, which contains a random number."""
     database = sqlite3.connect(folder / DATABASE_FILE)
     try:
         for table in ("meta", "log", "snapshot", "incoming", "facts", "known", "shown"):
