--- a/tests/loopback_testbed.py
+++ b/tests/loopback_testbed.py
@@ -18,7 +18,7 @@
 from limerudder.core.transport import Address, parse_address
 from limerudder.node_process import run_node
 
-LONG_DIRECTORY_NAME = "t" * 120  # exceeds the length limit of a Unix socket's name
+LONG_DIRECTORY_NAME = "t" * 120  # exceeds the length limit of a Unix socket's path
 
 
 class ScriptedConnection:
@@ -43,7 +43,7 @@
             return b""
 
     def reset(self) -> None:
-        """Reset the connection."""
+        """Close the connection with a TCP reset."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
@@ -115,7 +115,7 @@
         self.logged: asyncio.Queue[str] = asyncio.Queue()
         self.shared_config: dict[str, Any] = {}  # configuration common to all processes of the node
         self.has_started = False  # True once a process of the node has accepted clients
-        self.environment: dict[str, str] = {}  # additional variables of the processes
+        self.environment: dict[str, str] = {}  # additional environment variables of the processes
         self.watches: list[ScriptedConnection] = []  # watches that the discovery service has answered
         self._tasks: list[asyncio.Task[None]] = []  # keeps the scripted upstreams' tasks referenced
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -59,7 +59,7 @@
         assert await client.read_line() == ""
 
 
-async def a_slow_reader_gets_more_than_the_buffers_hold_completely(testbed: LoopbackTestbed) -> None:
+async def a_slow_reader_gets_all_data_that_exceeds_the_buffers(testbed: LoopbackTestbed) -> None:
     async with testbed.running_node():
         client, upstream = await testbed.establish_connection()
         lines = ["x" * 4000] * 2000
@@ -176,7 +176,7 @@
     lines_are_relayed_both_ways_until_the_upstream_ends,
     a_reset_on_one_side_resets_the_other,
     a_client_that_half_closes_still_gets_its_upstreams_last_lines,
-    a_slow_reader_gets_more_than_the_buffers_hold_completely,
+    a_slow_reader_gets_all_data_that_exceeds_the_buffers,
     an_endless_line_is_answered_with_an_error_and_closed,
     a_request_is_rejected_if_its_upstream_refuses_the_connection,
     a_cancelled_attempt_is_closed_at_its_upstream,
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -167,7 +167,7 @@
 
 def test_maintenance_calls_do_not_delay_discovery(tmp_path: Path) -> None:
     testbed = node_testbed(tmp_path)
-    testbed.dials[0].machine.connection_lost(testbed.now)  # the watch
+    testbed.dials[0].machine.connection_lost(testbed.now)  # ends the watch
     dials_before = len(testbed.dials)
     put_all_into_maintenance_but(testbed, "s-2")
     testbed.run(2 * SECOND)
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -333,7 +333,7 @@
         new_watch = await new_discovery.accept()
         assert "after=0" in await new_watch.read_line()
         old_watch.send_lines(drained[40:])
-        assert await old_watch.read_to_end() != b"", "the rest of the request, then the end of the connection"
+        assert await old_watch.read_to_end() != b"", "the rest of the watch's HTTP request, then the end"
         # the previous list is still active; the partial one from the old service is discarded
         await testbed.establish_connection()
 
@@ -344,7 +344,7 @@
 async def a_flood_from_a_client_that_disconnects_is_bounded(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Its host does not read: the amount of buffered data is bounded, and both sides are finally closed."""
+    """The host does not read: the amount of buffered data is bounded, and finally both sides are closed."""
     patch.setattr("limerudder.core.upstream.attempt.MESSAGE_TIMEOUT_US", 400_000)
     sessions = record_sessions(patch)
     message_count = 5000
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -30,7 +30,7 @@
 
 
 def test_a_request_whose_host_restarts_during_the_dial_is_written_only_in_a_turn(tmp_path: Path) -> None:
-    """Guards against issue 33: attempts in progress were sent to a host that had just started."""
+    """Guards against issue 33: after a dial, requests were written to a host that had just started."""
     testbed = node_testbed(tmp_path)
     testbed.send_request()
     (dial,) = testbed.attempts()
@@ -73,7 +73,7 @@
 
 
 def test_a_process_that_shuts_down_leaves_its_turns_to_its_replacement(tmp_path: Path) -> None:
-    """Guards against issue 33: two processes with the same node index both used all of its turns."""
+    """Guards against issue 33: two processes with the same node index each used all turns of the node."""
     testbed = node_testbed(tmp_path, settings=settings() | {"balancers": 1})
     restart_host(testbed, "s-1")
     number = testbed.node.upstreams.by_name["s-1"].number
--- a/tests/test_start_with_many_hosts.py
+++ b/tests/test_start_with_many_hosts.py
@@ -49,7 +49,7 @@
 
 
 async def counters(node: NodeProcess) -> str:
-    """Return the counters that the process logs."""
+    """Return the log line with the counters of the process."""
     assert node.process
     node.process.send_signal(signal.SIGUSR1)
     await wait_until(lambda: any("counters: " in line for line in node.lines), "counters")
--- a/tests/test_store_control.py
+++ b/tests/test_store_control.py
@@ -170,7 +170,7 @@
             writer.write(line + b"\n")
             assert json.loads(await reader.readline())["kind"] == "wrong"
             writer.close()
-        # malformed input on the members' port affects only its sender, too
+        # Malformed input on the members' port affects only its sender, too
         for data in (b"GET / HTTP/1.1\r\n\r\n", os.urandom(300), (1 << 31).to_bytes(4, "big") + bytes(4)):
             reader, writer = await asyncio.open_connection(*cluster.stores[0].settings.listen)
             writer.write(data)
@@ -318,7 +318,7 @@
         assert added_twice["kind"] == "refused" and "is a member already" in added_twice["error"]
         removed = await cluster.call("remove", member="n1")
         while not removed["ok"]:
-            # The change to a voter may not be committed yet
+            # The promotion to voter may not be committed yet
             assert "another change is under way" in removed["error"]
             removed = await cluster.call("remove", member="n1")
         assert [row["name"] for row in (await cluster.call("members"))["members"]] == ["n0"]
--- a/tests/test_store_multi_process.py
+++ b/tests/test_store_multi_process.py
@@ -51,7 +51,7 @@
 
 
 async def drain_two_hosts(tier: MultiProcessTier) -> None:
-    """Drain h0 and hold h1, each through a single node; then discovery lists h0 as active again."""
+    """Drain h0 and set a hold on h1, each through a single node; then discovery lists h0 as active again."""
     tier.discovery.entries["h0"]["lifecycle"] = "leaving"
     tier.discovery.publish(only=1)  # Sent to one node only
     assert await tier.nodes[2].call_console("maint-on h1") == "done"
--- a/tests/test_store_state_machine.py
+++ b/tests/test_store_state_machine.py
@@ -45,13 +45,13 @@
         comparisons: tuple[Compare, ...] = (),
         on_failure: tuple[Operation, ...] = (),
     ) -> CommandResult:
-        """Runs a transaction with the next serial number and all results acknowledged."""
+        """Run a transaction with the next serial number that acknowledges all earlier results."""
         self.serial += 1
         transaction = Transaction(comparisons, on_success, on_failure)
         return self.write(self.serial, self.serial - 1, transaction)
 
     def write(self, serial: int, acknowledged_serial: int, transaction: Transaction) -> CommandResult:
-        """Runs a transaction with the given serial number."""
+        """Run a transaction with the given serial number."""
         self.index += 1
         command = SessionWrite(self.session_id, serial, acknowledged_serial, transaction)
         return self.state.apply(self.index, encode_command(command))
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -292,7 +292,7 @@
 
 class _StoppedTimerWheel:
     def schedule(self, due_us: int, callback: Any) -> None:
-        """Never call back."""
+        """Never call the callback."""
 
 
 class _FakeNode:
