--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -91,7 +91,7 @@
 async def a_graceful_shutdown_evicts_idle_clients(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise they would stay idle until the process exits, and a request sent then would be reset."""
+    """Without eviction, clients would stay until the process exits, and a late request would be reset."""
     async with testbed.running_node(settings=quick_settings()) as node:
         client = await testbed.connect()
         silent = await testbed.connect()
@@ -333,7 +333,7 @@
         new_watch = await new_discovery.accept()
         assert "after=0" in await new_watch.read_line()
         old_watch.send_lines(drained[40:])
-        assert await old_watch.read_to_end() != b"", "the rest of the request, then the end of the connection"
+        assert await old_watch.read_to_end() != b"", "the rest of the watch's HTTP request, then the end"
         # the previous list is still active; the partial one from the old service is discarded
         await testbed.establish_connection()
 
@@ -344,7 +344,7 @@
 async def a_flood_from_a_client_that_disconnects_is_bounded(
     testbed: LoopbackTestbed, patch: pytest.MonkeyPatch
 ) -> None:
-    """Its host does not read: the amount of buffered data is bounded, and both sides are finally closed."""
+    """The host does not read: the amount of buffered data is bounded, and finally both sides are closed."""
     patch.setattr("limerudder.core.upstream.attempt.MESSAGE_TIMEOUT_US", 400_000)
     sessions = record_sessions(patch)
     message_count = 5000
@@ -393,7 +393,7 @@
         watch.send_watch_answer(
             hosts(host("s-1", upstream_address, "leaving"), host("s-9", upstream_address))
         )
-        assert await first.read_line() == "MOVE", "the node has received the update that its host drains"
+        assert await first.read_line() == "MOVE", "the node has received the list in which the host drains"
         process.send_signal(signal.SIGTERM)
         assert process.subprocess.stderr
         logged = (await process.subprocess.stderr.read()).decode()
