--- a/limerudder/store/calls.py
+++ b/limerudder/store/calls.py
@@ -22,7 +22,7 @@
 
 
 class CallFailure(NamedTuple):
-    """A failed call; if `outcome_unknown`, the request may have been carried out or may still be."""
+    """A failed call; if `outcome_unknown`, the request may have been or may still be carried out."""
 
     kind: CallFailureKind
     text: str
--- a/limerudder/store/cli.py
+++ b/limerudder/store/cli.py
@@ -29,7 +29,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Print JSON, one object.")
 @click.pass_context
 def state(ctx: click.Context, folder: str | None, wait: float, as_json: bool) -> None:
-    """Administer the replicated store, through the node that runs on --folder or on offline directories."""
+    """Administer the replicated store, through the node running on --folder or in offline directories."""
     ctx.obj = CommandSession(os.path.abspath(folder) if folder else None, wait, as_json)
 
 
--- a/limerudder/store/client.py
+++ b/limerudder/store/client.py
@@ -53,7 +53,7 @@
             return error_answer(ControlErrorKind.OUTCOME_UNKNOWN, f"the node has gone: {error.strerror}")
 
     def changes(self) -> Iterator[JsonObject]:
-        """Yield the changes of a watch, without a timeout, up to and including the first that is not `ok`."""
+        """Yield the answers of a watch, without a timeout; ends after the first that is not `ok`."""
         self._socket.settimeout(None)
         while True:
             answer = self._read_answer()
--- a/limerudder/store/client_calls.py
+++ b/limerudder/store/client_calls.py
@@ -23,7 +23,7 @@
     callback: ReplyCallback
     sent_at_us: int = 0  # Time of the last transmission
     sent_to: int = NO_LEADER  # Member that received the last transmission
-    was_sent: bool = False  # Sent at least once, so that it may have been carried out
+    was_sent: bool = False  # Whether it was sent at least once, and so may have been carried out
 
     def timeout_failure(self, leader_id: int) -> CallFailure:
         """Returns the failure that is reported once the deadline has passed."""
@@ -72,7 +72,7 @@
         self._send_request(leader_id, call.request, now_us)
 
     def handle_reply(self, reply: Reply, now_us: int) -> None:
-        """Completes the call of a reply; a call that did not reach the leader is retried later."""
+        """Completes the call that a reply answers; a call that did not reach the leader is retried later."""
         call = self._pending.get(reply.number)
         if call is None or reply.status == ReplyStatus.NOT_LEADER:
             return
--- a/limerudder/store/control_protocol.py
+++ b/limerudder/store/control_protocol.py
@@ -38,7 +38,7 @@
     REJECTED = "refused"  #: The call is not allowed or not possible
     BUSY = "busy"  #: Too many calls are pending
     UNAVAILABLE = "not_now"  #: No leader, or no answer in time; the call had no effect
-    OUTCOME_UNKNOWN = "unsure"  #: The call may have been carried out or may still be
+    OUTCOME_UNKNOWN = "unsure"  #: The call may have been or may still be carried out
     NOT_FOUND = "not_there"  #: The key or member does not exist
     COMPACTED = "compacted"  #: The changes requested by a watch are no longer kept
 
--- a/limerudder/store/disk.py
+++ b/limerudder/store/disk.py
@@ -132,7 +132,7 @@
             return [writer.write_job(job) for job in jobs]
 
     def start_new_cluster(self, identity: MemberIdentity, hard_state: HardState, snapshot: Snapshot) -> None:
-        """Turn this directory into that of a member of a new cluster with the state of this snapshot."""
+        """Convert this directory to a member of a new cluster that starts with the state of the snapshot."""
         connection = self.connection
         writer = SqliteWriter(connection)
         with transaction(connection):
@@ -161,7 +161,7 @@
             writer.put_meta(MetaName.CONFIG, config)
             writer.put_hard_state(INITIAL_HARD_STATE)
             writer.put_meta(MetaName.INCARNATION, INITIAL_INCARNATION)
-        # otherwise the directory entry of the new file could be lost in a power failure
+        # Without these syncs, a power failure could lose the directory entries of the new file and folder
         _sync_directory(self._directory)
         _sync_directory(os.path.dirname(os.path.abspath(self._directory)))
 
--- a/limerudder/store/disk_writer.py
+++ b/limerudder/store/disk_writer.py
@@ -23,7 +23,7 @@
 
 
 class JobBatch(NamedTuple):
-    """Jobs that are written in one transaction; the thread ends after the last batch."""
+    """Jobs that are written in one transaction; the thread ends after the batch with `is_last`."""
 
     jobs: list[DurabilityJob]
     is_last: bool
@@ -83,7 +83,7 @@
         return self._call_in_loop(self._on_durable, jobs, snapshots)
 
     def _persist(self, jobs: list[DurabilityJob]) -> list[Snapshot | None]:
-        # retries until it succeeds: messages that depend on these jobs must not be sent earlier
+        # retries until the write succeeds: messages that depend on these jobs must not be sent earlier
         while True:
             try:
                 snapshots = self._disk.persist(jobs)
--- a/limerudder/store/drain_log.py
+++ b/limerudder/store/drain_log.py
@@ -229,8 +229,8 @@
 
     def update_agreed(self, host: str, modified_revision: int, value: bytes | None) -> None:
         """Applies a host's agreed record from the replicated state; `value` is None if it was removed."""
-        known = self._agreed.get(host)
-        if known and known.modified_revision >= modified_revision:
+        current = self._agreed.get(host)
+        if current and current.modified_revision >= modified_revision:
             return  # a replicated state that is still catching up must not replace a newer record
         try:
             record = decode_host_record(value) if value is not None else HostRecord()
@@ -269,7 +269,7 @@
         self._refresh(host)
 
     def _rebase_returns(self, host: str, revision: int) -> None:
-        """Rebases returns recorded during the write: the operator had seen the facts being written."""
+        """Raises the basis revision of returns recorded during the write: the operator had seen its facts."""
         for number, fact in list(self.pending_facts.items()):
             if not isinstance(fact, ReturnToService) or fact.host != host:
                 continue
--- a/limerudder/store/durability.py
+++ b/limerudder/store/durability.py
@@ -1,4 +1,4 @@
-"""Records of a member's durable state, and of the jobs that change it."""
+"""Data types of a member's durable state, and of the jobs that change it."""
 
 from __future__ import annotations
 
--- a/limerudder/store/member.py
+++ b/limerudder/store/member.py
@@ -44,7 +44,7 @@
 from limerudder.store.rpc import AddressedMessage, Reply, Request, RequestKind, StoreMessage
 from limerudder.store.state_machine import KeyValueState
 
-REQUEST_NUMBER_BITS = 48  #: Size of the random number of a process's first request
+REQUEST_NUMBER_BITS = 48  #: Size of the random number that a process assigns to its first request
 
 #: Returns why a transaction is rejected under a maximum value size in bytes, or None if it is valid
 TransactionValidator = Callable[[Transaction, int], str | None]
--- a/limerudder/store/node_bridge.py
+++ b/limerudder/store/node_bridge.py
@@ -92,7 +92,7 @@
         return config
 
     async def run(self, node: NodeHooks, bound_socket: socket.socket) -> None:
-        """Connect to the other members on a bound socket; keep a node that has loaded its list up to date."""
+        """Run the store on a bound socket, and start to update a node that has loaded its endpoint list."""
         self._node = node
         await self._store.run(bound_socket)
         await self._control.listen()
@@ -101,12 +101,12 @@
         self._update_node(self._now_us())
 
     def close(self) -> None:
-        """Close the store at the node's end or before the successor opens it."""
+        """Close the store when the node stops, or before its successor opens the store."""
         self._control.close()
         self._store.close()
 
     def observe(self, endpoint: Endpoint) -> bool:
-        """Record the endpoint's drain if one is listed; return whether this start gets no new attempts."""
+        """Record a drain if the endpoint is listed as draining; return whether it gets no new attempts."""
         if endpoint.state == ServerState.DRAINING:
             if self._drain_log.record_drain(endpoint.name, endpoint.started_ms) is not None:
                 self._store.schedule_output()
@@ -114,7 +114,7 @@
         return self._drain_log.effective_record(endpoint.name).excludes(endpoint.started_ms)
 
     def drained_starts(self) -> dict[str, int]:
-        """Return the last draining start of each host, by name, in ms since 1970."""
+        """Return the last drained start of each host, by name, in ms since 1970."""
         starts = {host: self._drain_log.effective_record(host).drained for host in self._drain_log.hosts()}
         return {host: started_ms for host, started_ms in starts.items() if started_ms > NEVER_DRAINED}
 
--- a/limerudder/store/peer_authentication.py
+++ b/limerudder/store/peer_authentication.py
@@ -1,12 +1,12 @@
 """Decides which peers may connect, rejecting those of another cluster or build or with an outdated disk.
 
-A member's random identifier is created with its disk. The disk counts its starts and draws a random nonce for
-each: `Incarnation`. Each member records what the others have proved about their disks. A member that proves
-less than before runs on an older copy of its disk or shares the disk with another process. It must not
-participate, since it may have cast a vote or acknowledged an entry that is missing from this disk; it can
-rejoin only with a new disk under a new identifier.
+A member's random identifier is created with its disk, which records each start as an `Incarnation`. Each
+member records a `DurabilityProof` of every other one: its latest incarnation and last acknowledged entry. A
+member whose handshake shows less than its recorded proof runs on an older copy of its disk or shares the disk
+with another process. It must not participate, since it may have cast a vote or acknowledged an entry that is
+missing from this disk; it can rejoin only with a new disk under a new identifier.
 
-No I/O, no clock.
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True):
-    """One start of a disk: its sequence number and a random nonce."""
+    """One start of a member on its disk: the sequence number and a random nonce."""
 
     number: int
     nonce: int
@@ -41,7 +41,7 @@
 
 
 class DurabilityProof(msgspec.Struct, frozen=True, array_like=True):
-    """What a member has proved about its disk: its incarnation, and the entry it acknowledged in a term."""
+    """The latest incarnation of a member's disk, and the term and index of its last acknowledgement."""
 
     incarnation: Incarnation
     term: int = 0
@@ -103,7 +103,7 @@
         self._unsaved_proofs[handshake.sender_id] = proof
 
     def record_acknowledgement(self, sender_id: int, term: int, index: int) -> None:
-        """Records that a member has acknowledged the log up to an entry, and so has it on its disk."""
+        """Records that a member has acknowledged the log up to an entry, which is durable on its disk."""
         proof = self._proofs.get(sender_id)
         if proof and (term, index) > (proof.term, proof.index):
             # Not added to the unsaved proofs: it becomes durable here only with the member's next incarnation
@@ -123,7 +123,7 @@
 
 
 def _outdated_disk(proof: DurabilityProof, handshake: Handshake) -> str | None:
-    """Returns how a handshake proves less than the peer's earlier ones, or None if it does not."""
+    """Returns how a handshake shows less than the peer's recorded proof, or None if it does not."""
     presented, recorded = handshake.incarnation, proof.incarnation
     if presented.number < recorded.number:
         return f"shows start {presented.number} after start {recorded.number}: it is an older copy"
--- a/limerudder/store/peer_transport.py
+++ b/limerudder/store/peer_transport.py
@@ -32,10 +32,10 @@
         self._addresses: dict[int, Address] = {}  # Addresses of the other members, by member
         self._connections: set[PeerConnection] = set()  # Connections in any state
         self._unauthenticated: dict[PeerConnection, None] = {}  # Accepted connections, oldest first
-        self._dialled: dict[int, PeerConnection] = {}  # Established connections, by member
-        self._accepted: dict[int, PeerConnection] = {}  # Established connections, by member
-        self._dial_tasks: dict[int, asyncio.Task[None]] = {}  # Tasks by member
-        self._redial_timers: dict[int, asyncio.TimerHandle] = {}  # Timers by member
+        self._dialled: dict[int, PeerConnection] = {}  # Established connections to members, by member
+        self._accepted: dict[int, PeerConnection] = {}  # Established connections from members, by member
+        self._dial_tasks: dict[int, asyncio.Task[None]] = {}  # Running dial tasks, by member
+        self._redial_timers: dict[int, asyncio.TimerHandle] = {}  # Pending redials, by member
         self._server: asyncio.Server | None = None
         self._closed = False
 
@@ -137,7 +137,7 @@
             self._dial_tasks.pop(member_id, None)
 
     async def _try_connect(self, member_id: int) -> bool:
-        """Return whether TCP has connected; a successful handshake calls `connection_established`."""
+        """Dial once; return whether TCP has connected. `connection_established` follows the handshake."""
         loop = asyncio.get_running_loop()
         host, port = self._addresses[member_id]
         try:
--- a/limerudder/store/raft/election.py
+++ b/limerudder/store/raft/election.py
@@ -30,7 +30,7 @@
         self.reset_timer(now_us)
 
     def reset_timer(self, now_us: int) -> None:
-        """Set the deadline to a random one to two election timeouts from now (3.4)."""
+        """Set the deadline to a random time, one to two election timeouts from now (3.4)."""
         timeout_us = self._state.timing.election_timeout_us
         self.deadline_us = now_us + timeout_us + self._random.randrange(timeout_us)
 
--- a/limerudder/store/raft/persistence.py
+++ b/limerudder/store/raft/persistence.py
@@ -1,4 +1,4 @@
-"""Records of a member's durable state: the state that it starts from, and the writes that it requests."""
+"""Data types of a member's durable state: the state that it starts from, and the writes that it requests."""
 
 from __future__ import annotations
 
--- a/limerudder/store/raft/raft.py
+++ b/limerudder/store/raft/raft.py
@@ -159,7 +159,7 @@
                 self._on_timeout_now(now_us)
 
     def _on_outdated_message(self, sender: int, message: RaftMessage) -> None:
-        """Notify a leader of an earlier term of the current term.
+        """Reply with the current term to a leader of an earlier one.
 
         Without a reply it would continue to lead, and a member with a later term would never follow it.
         """
--- a/limerudder/store/raft/reads.py
+++ b/limerudder/store/raft/reads.py
@@ -28,7 +28,7 @@
         self._next_id = 1
         self._round_is_unsent = False
         self._pending: deque[_PendingRead] = deque()  # ordered by round
-        self._waiting_for_commit: list[int] = []  # ids of reads until this leader's first entry is committed
+        self._waiting_for_commit: list[int] = []  # ids of reads until this leader's first commit
 
     def request(self) -> int:
         """Start a read and return its id; the output reports it as confirmed or aborted."""
--- a/limerudder/store/raft/replication.py
+++ b/limerudder/store/raft/replication.py
@@ -71,7 +71,7 @@
                 self._send_heartbeat(member_id, progress, now_us)
 
     def _send_heartbeat(self, member_id: int, progress: Progress, now_us: int) -> None:
-        """Send an append without entries, which also detects the loss of earlier ones."""
+        """Send an append without entries, which also detects the loss of earlier appends."""
         state = self._state
         progress.last_sent_us = now_us
         if progress.mode == ProgressMode.SNAPSHOT and progress.snapshot:
@@ -86,7 +86,7 @@
             self._snapshot_sender.send_heartbeat(member_id, progress)
 
     def next_heartbeat_us(self) -> int | None:
-        """The due time of the next heartbeat, or None without other members."""
+        """The due time of the next heartbeat, or None if there are no other members."""
         last_sent = [progress.last_sent_us for progress in self._state.progress.values()]
         return min(last_sent) + self._state.timing.heartbeat_interval_us if last_sent else None
 
--- a/limerudder/store/rpc.py
+++ b/limerudder/store/rpc.py
@@ -38,7 +38,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag="Told"):
-    """The reply to the request of this number, normally by the leader."""
+    """The reply to the request with this number, normally sent by the leader."""
 
     number: int
     status: ReplyStatus
@@ -53,11 +53,11 @@
 
 
 def encode_message(message: StoreMessage) -> bytes:
-    """Encodes a message as a frame's body."""
+    """Encodes a message as the payload of a frame."""
     return _encode(message)
 
 
 def decode_message(data: bytes) -> StoreMessage:
-    """Decodes a message from a frame's body; raises msgspec.DecodeError if it is malformed."""
+    """Decodes a message from the payload of a frame; raises msgspec.DecodeError if it is malformed."""
     message: StoreMessage = _decoder.decode(data)
     return message
--- a/limerudder/store/state_machine.py
+++ b/limerudder/store/state_machine.py
@@ -210,7 +210,7 @@
         return SnapshotView(self.applied_index, self.revision, self.items, self.sessions, chunk_bytes)
 
     def restore(self, chunks: Sequence[bytes]) -> None:
-        """Replaces the state by a snapshot; raises SnapshotError without changes if it is malformed."""
+        """Replaces the state with a snapshot; raises SnapshotError without changes if it is malformed."""
         header, items, sessions = decode_snapshot(chunks)
         self.items = items
         self.sessions = sessions
--- a/limerudder/store/status.py
+++ b/limerudder/store/status.py
@@ -49,8 +49,9 @@
     role: str
     is_leader: bool = msgspec.field(name="leads")
     is_connected: bool = msgspec.field(name="connected")
-    match_index: int | None = msgspec.field(name="match")  # None unless the answering member leads or is it
-    # Time since the member's last message; None unless the answering member leads, and for itself
+    # None unless the answering member is the leader or this member
+    match_index: int | None = msgspec.field(name="match")
+    # Time since this member's last reply to the leader; None for the leader, and in answers of followers
     last_heard_ms: int | None = msgspec.field(name="heard_ms")
 
 
--- a/limerudder/store/store.py
+++ b/limerudder/store/store.py
@@ -28,7 +28,7 @@
 TICK_SECONDS = 0.01  #: Interval of checks of the member's deadlines, which are far longer
 CLOSE_TIMEOUT_SECONDS = 0.5  #: Maximum wait for the last jobs to become durable
 RANDOM_SEED_BITS = 64
-UNREPORTED_LEADER = -1  #: Differs from every member's identifier and from NO_LEADER
+UNREPORTED_LEADER = -1  #: Initial value of the last logged leader; no member's identifier, nor NO_LEADER
 
 
 class Store:
--- a/tests/test_store_control.py
+++ b/tests/test_store_control.py
@@ -170,7 +170,7 @@
             writer.write(line + b"\n")
             assert json.loads(await reader.readline())["kind"] == "wrong"
             writer.close()
-        # The same applies to the members' port
+        # Malformed input at the members' port also affects only its sender
         for data in (b"GET / HTTP/1.1\r\n\r\n", os.urandom(300), (1 << 31).to_bytes(4, "big") + bytes(4)):
             reader, writer = await asyncio.open_connection(*cluster.stores[0].settings.listen)
             writer.write(data)
