--- a/limerudder/cue/evaluation.py
+++ b/limerudder/cue/evaluation.py
@@ -36,7 +36,7 @@
 )
 
 MAX_EVALUATION_DEPTH = 64  #: Maximum depth of nested references and values
-MAX_EVALUATED_VALUES = 100_000  #: Maximum per file; references can expand a short file to many values
+MAX_EVALUATED_VALUES = 100_000  #: Maximum number of values per file; references can expand a short file
 DEFINITION_MARK = "#"
 
 
@@ -65,7 +65,7 @@
 
 
 class Evaluator:
-    """Evaluates expressions; collects errors, and evaluates invalid expressions to any scalar."""
+    """Evaluates expressions and collects errors; the value of an invalid expression is any scalar."""
 
     def __init__(self, errors: list[SourceError]) -> None:
         self._errors = errors
@@ -78,7 +78,7 @@
         self._evaluated_count += 1
         try:
             if self._depth > MAX_EVALUATION_DEPTH or self._evaluated_count > MAX_EVALUATED_VALUES:
-                message = "a reference leads back to itself, or too far"
+                message = "a reference leads back to itself, or expands too far"
                 return self._error(expression.position, message)
             return self._evaluate(expression, scope, closed)
         finally:
--- a/limerudder/cue/load.py
+++ b/limerudder/cue/load.py
@@ -38,7 +38,7 @@
 
 
 def _not_reported_yet(errors: list[SourceError], reported: list[SourceError]) -> list[SourceError]:
-    """Return the errors for whose paths no error has been reported."""
+    """Return the errors at paths for which no error has been reported."""
     reported_paths = {_path_text(error) for error in reported}
     return [error for error in errors if _path_text(error) not in reported_paths]
 
--- a/limerudder/cue/parser.py
+++ b/limerudder/cue/parser.py
@@ -84,8 +84,8 @@
 def parse(source: str | bytes, file: str) -> StructLiteral:
     """Return the syntax tree of a file.
 
-    Raises CueError with the syntax errors, at most one per line: more than `MAX_FILE_BYTES`, brackets nested
-    deeper than `MAX_NESTING_DEPTH`, bytes that are not UTF-8, unexpected tokens.
+    Raises CueError with the syntax errors, at most one per line. Files larger than `MAX_FILE_BYTES`, brackets
+    nested deeper than `MAX_NESTING_DEPTH` and bytes that are not UTF-8 are errors too.
     """
     text = _decode(source, file)
     _check_nesting(text, file)
@@ -109,7 +109,7 @@
 def _decode(source: str | bytes, file: str) -> str:
     data = source if isinstance(source, bytes) else source.encode(errors="replace")
     if len(data) > MAX_FILE_BYTES:
-        message = f"more than {MAX_FILE_BYTES} bytes, which is all that is read"
+        message = f"more than {MAX_FILE_BYTES} bytes, the maximum size of a file"
         raise CueError([SourceError(SourcePosition(file, 1, 1), message)])
     try:
         return data.decode()
--- a/limerudder/cue/unification.py
+++ b/limerudder/cue/unification.py
@@ -150,7 +150,7 @@
 
 
 def _depth(error: SourceError) -> int:
-    """Return the number of names in the path with which the text of an error starts."""
+    """Return the number of names in the path at the start of an error's text."""
     return error.text.partition(": ")[0].count(".") + 1
 
 
