--- a/bench/compare_decisions.py
+++ b/bench/compare_decisions.py
@@ -1,4 +1,4 @@
-"""Compares two simulator journals day by day: `python -m bench.compare_decisions OLD.json NEW.json`.
+"""Compares the days of two simulator journals: `python -m bench.compare_decisions OLD.json NEW.json`.
 
 As long as the connection policy makes the same decisions, the simulator reproduces every figure of a day
 exactly. All figures must be equal, except for CPU times, which are measured. Exits with 1 on any difference,
--- a/bench/filter.py
+++ b/bench/filter.py
@@ -1,10 +1,11 @@
 """Tests whether a node works without certain system calls: `python -m bench.filter [--rounds N]`.
 
-The runs of the fleet bench reject fork, other programs, io_uring, splice and sendfile (ENOSYS;
-splice EINVAL), and no process connects to a Unix socket. This command runs one real node under
-`strace`, which injects the same errors, subjects it to clients, a SIGHUP and a SIGTERM, and then
-searches the trace for all such calls. Since the node does its ordinary work, the trace shows the
-calls of its own code and its libraries (such as uvloop's libuv).
+The fleet bench, a test environment outside this repository, rejects fork, other programs, io_uring,
+splice and sendfile (splice with EINVAL, the others with ENOSYS), and no process connects to a Unix
+socket there. This command runs one real node under `strace`, which injects the same errors, subjects
+it to clients, a SIGHUP and a SIGTERM, and then searches the trace for all such calls. Since the node
+does its ordinary work, the trace shows the calls of its own code and its libraries (such as uvloop's
+libuv).
 Requires `strace` on the PATH; a measurement, not run in CI.
 """
 
--- a/bench/hot_restart_compatibility.py
+++ b/bench/hot_restart_compatibility.py
@@ -47,13 +47,13 @@
     """Outcome of a connection; a connection may have several."""
 
     ACCEPTED = "accepted"
-    ANSWERED = "answered"  # UP: an upstream has accepted it
+    ANSWERED = "answered"  # UP: an upstream has accepted the request
     REJECTED = "rejected"  # BUSY
     FAILED = "failed"  # FAIL or ERR
     MIGRATED = "migrated"  # MOVE
     REFUSED = "refused at the listener"
     LOST = "lost without an answer"
-    CUT_OFF = "cut off without MOVE"  # after UP; includes messages that are not answered in time
+    CUT_OFF = "cut off without MOVE"  # ended after UP, or a message was not answered in time
 
 
 FAULTS = (Outcome.REFUSED, Outcome.LOST, Outcome.CUT_OFF)
--- a/bench/lab_load.py
+++ b/bench/lab_load.py
@@ -48,7 +48,7 @@
 
 
 class HostConnection(asyncio.Protocol):
-    """A connection to the stand-in host, which accepts all requests; during a stall, only at its end."""
+    """A connection to the stand-in host; requests during a stall are accepted when it ends."""
 
     waiting: list[HostConnection] | None = None  # unanswered connections during a stall, otherwise None
     transport: asyncio.Transport
--- a/bench/slow_start_candidates.py
+++ b/bench/slow_start_candidates.py
@@ -2,7 +2,7 @@
 
     python -m bench.slow_start_candidates [--seeds N]
 
-Each line simulates a fault with one factor removed, or with its true value instead of the nodes' estimate. It
+Each row simulates a fault with one factor removed, or with its true value instead of the nodes' estimate. It
 shows how many seeds and windows exceed the operators' limit, and the worst ratio. The true rate of each
 server is available in the simulation.
 """
--- a/harness/fault_injector.py
+++ b/harness/fault_injector.py
@@ -17,7 +17,7 @@
 from limerudder.store.raft.messages import Member as MemberEntry
 from limerudder.store.rpc import RequestKind
 
-CRASH_COUNTS = (1, 1, 1, 2)  #: Numbers of members that crash together; all of them is a further choice
+CRASH_COUNTS = (1, 1, 1, 2)  #: Numbers of members that crash together; a crash of all is a further choice
 RESTART_DELAY_FRACTIONS = (0.02, 0.2, 1)
 DISK_STALLS_US = (200 * MICROSECONDS_PER_MILLISECOND, 2 * MICROSECONDS_PER_SECOND)
 CLOCK_JUMPS_US = (50 * MICROSECONDS_PER_MILLISECOND, MICROSECONDS_PER_SECOND, 10 * MICROSECONDS_PER_SECOND)
@@ -117,7 +117,7 @@
         member.clock_offset_us += max(time_before_us - member.local_time_us(), 0)
 
     def _restore_old_disk(self) -> None:
-        """Replace a member's disk by an older copy: the others must reject the member permanently."""
+        """Replace a member's disk with an older copy: the others must reject the member permanently."""
         if self._plan.min_voters < 3:
             return  # the permanent loss of one of two voters leaves no quorum
         candidates = [
--- a/harness/linearizability.py
+++ b/harness/linearizability.py
@@ -43,7 +43,10 @@
 
 
 def _check_real_time_order(history: Sequence[ClientCall], finished: Sequence[ClientCall]) -> None:
-    """Check that a call returns at least the revision of each call that ended before it; a write, more."""
+    """Check that a call returns no earlier revision than any call that ended before it.
+
+    A write must return a later revision.
+    """
     seen_revision = 0
     position = 0
     for call in sorted(history, key=lambda call: call.started_us):
--- a/harness/many_hosts_soak.py
+++ b/harness/many_hosts_soak.py
@@ -31,7 +31,8 @@
     "bind=EADDRINUSE+ENOMEM,listen=EADDRINUSE",
     "connect=EADDRNOTAVAIL+ENOBUFS,sendto=ENOBUFS+EPERM,accept=EMFILE",
 )
-NodeFault = Callable[[NodeProcess, Path], Awaitable[None]]  #: Fault of a node; given the preloaded library
+#: Injects a fault at a node; receives the node and the path of the library of `faulty_calls`
+NodeFault = Callable[[NodeProcess, Path], Awaitable[None]]
 HOST_SHARES = (0.001, 0.05, 0.5)  #: Shares of the hosts that one fault changes
 
 
--- a/harness/process_soak.py
+++ b/harness/process_soak.py
@@ -22,7 +22,7 @@
 from harness.slow_start_processes import fullest_window_share
 
 WARM_SECONDS = 3.0
-NOTIFICATION_SECONDS = 2.0  #: Time until all nodes are notified; nodes reopen a watch within 0.8 s
+NOTIFICATION_SECONDS = 2.0  #: Time allowed for notifying all nodes; nodes reopen a watch within 0.8 s
 STOP_SECONDS = 3.7  #: Earliest SIGKILL after SIGTERM with deadlines of 2 s: 2 + 0.7, plus a margin
 FAULT_PAUSE_SECONDS = (0.1, 0.8)
 CLOCK_STEPS_MS = (0, 3_600_000, -3_600_000, 5_000, -5_000)
@@ -42,7 +42,8 @@
 )
 
 
-Fault = Callable[[Path], Awaitable[None]]  #: Fault; given the preloaded library
+#: Injects a fault; receives the path of the library of `faulty_calls`
+Fault = Callable[[Path], Awaitable[None]]
 
 
 @dataclass
--- a/harness/slow_start_faults.py
+++ b/harness/slow_start_faults.py
@@ -51,14 +51,14 @@
 
 
 def clocks_behind(fleet: SlowStartFleet) -> None:
-    """The same restarts, the nodes with clocks an hour behind."""
+    """A quarter of the servers and a third of the nodes restart, the nodes with clocks an hour behind."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     fleet.restart_nodes(list(range(0, len(fleet.nodes), 3)), clock_step_us=-HOUR_US)
     fleet.run(SETTLING_SECONDS)
 
 
 def clocks_wrong_by_seconds(fleet: SlowStartFleet) -> None:
-    """A quarter of the servers restart, and all nodes with clock errors of up to ten seconds."""
+    """A quarter of the servers and all nodes restart, the nodes with clock errors of up to ten seconds."""
     fleet.restart_servers(list(fleet.ready_since)[::4])
     for node in range(len(fleet.nodes)):
         fleet.restart_nodes([node], clock_step_us=int(fleet.rng.uniform(-10, 10) * SECOND))
--- a/harness/slow_start_fleet.py
+++ b/harness/slow_start_fleet.py
@@ -42,11 +42,11 @@
 
 SECOND = 1_000_000
 MICROSECONDS_PER_MILLISECOND = 1000
-START_US = 100_000 * SECOND  #: Large enough for clocks that are hours behind
+START_US = 100_000 * SECOND  #: Start of the simulation; large enough for clocks that are hours behind
 CONNECT_US = 20_000
 RECONNECT_SECONDS = (0.1, 1.0)
 CHANCE_DEVIATIONS = 2.0  #: Standard deviations by which attempts may exceed a budget by chance
-SMALL_BUDGET = 30  #: Attempts per window; the operators allow a larger excess by chance for smaller budgets
+SMALL_BUDGET = 30  #: Attempts per window; below it, the operators allow a larger excess by chance
 
 
 def allowed_attempts(budget: float) -> float:
@@ -155,7 +155,7 @@
         return worst
 
     def _slow_start_windows(self) -> Iterator[tuple[int, float]]:
-        """Yield the attempts in each window that ends with an attempt, and the budget at its first one."""
+        """Yield the attempts in each window that ends with an attempt, and the budget at its start."""
         settings = self.settings
         for server, started in self.attempts.items():
             window_start = 0
--- a/harness/tier_clients.py
+++ b/harness/tier_clients.py
@@ -13,7 +13,7 @@
 ANSWER_TIMEOUT_SECONDS = 4
 SECOND_ANSWER_SECONDS = 0.3  #: Time to wait for a second answer to an accepted request
 RETRY_SECONDS = 0.02
-#: Time after SIGTERM in which the platform's front end may open connections; later ones are not checked.
+#: Time after SIGTERM in which the platform's front end may open connections; later requests are not checked.
 FRONT_UPDATE_SECONDS = 0.4
 EXIT_DETECTION_SECONDS = 0.2  #: Time to detect the exit of a process that has closed a connection
 
--- a/limerudder/loadtest/rule_checker.py
+++ b/limerudder/loadtest/rule_checker.py
@@ -41,13 +41,13 @@
 class RuleLimits(NamedTuple):
     """Limits of the rules; times are in microseconds."""
 
-    answer_grace_us: int = 20_000  #: Time allowed after a client's deadline
+    answer_grace_us: int = 20_000  #: Time allowed for an answer after the client's deadline
     drain_grace_us: int = 500_000  #: Time allowed for new attempts after the notice that a server drains
     warm_up_us: int = 24 * MICROSECONDS_PER_SECOND
     initial_capacity: float = 0.13  #: Share of the capacity after a start; grows linearly to 1 during warm-up
     overload_factor: float = 3.0  #: Allowed multiple of the current capacity within any window
-    overload_window_us: int = 2 * MICROSECONDS_PER_SECOND  #: Length of the window
-    chance_allowance: int = 2  #: Attempts allowed above that limit, for random variation
+    overload_window_us: int = 2 * MICROSECONDS_PER_SECOND  #: Window in which attempts are counted
+    chance_allowance: int = 2  #: Attempts allowed above the overload limit, for random variation
     line_grace_us: int = 100_000  #: Time allowed for a line to pass through the node
 
 
